--- a/packages/ashhoist/src/ashhoist/control/core.py
+++ b/packages/ashhoist/src/ashhoist/control/core.py
@@ -1,7 +1,7 @@
-"""What one instance believes, without sockets and threads.
+"""The control state of one instance, without sockets or threads.
 
-Everything comes in as a call and goes out through `Outside`, so that tests run
-many instances on one manual clock with small fakes between them.
+Input arrives as method calls and output leaves through `Outside`, so that tests can
+run many instances on one manual clock, connected by small fakes.
 """
 
 from collections.abc import Mapping
@@ -41,7 +41,7 @@
 from .limit_notices import LimitNotices
 from .lookups import Lookups
 from .membership import Membership
-from .order_desk import OrderDesk
+from .order_desk import OrderRouter
 from .order_leases import OrderLeases
 from .outside import Outside
 from .peers import InstanceRecord, Peers
@@ -50,16 +50,16 @@
 from .quotas import Quotas
 from .readers import MILLISECOND, FirstRead, Readers
 from .records import Decode, SharedRecords
-from .release import Release
+from .release import LeaseHandover
 from .scheduling import Scheduling
 
-LOOK_AFTER_PEERS_EVERY = timedelta(milliseconds=500)
-"""How often links that are silent, or not needed, are looked for."""
+PEER_CHECK_INTERVAL = timedelta(milliseconds=500)
+"""How often silent and surplus links are detected and dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """What the core needs to know from the settings."""
+    """The settings that the core uses."""
 
     name: str
     zone: str
@@ -73,12 +73,12 @@
 
     @property
     def identity(self) -> Identity:
-        """Return what others know of this instance."""
+        """Return the properties that other instances see of this one."""
         return Identity(self.name, self.zone, self.address, self.capacity)
 
 
 class Core:
-    """The whole belief of one instance. One thread calls it."""
+    """The control state of one instance. Not thread-safe: one thread calls it."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
         self.membership = Membership(
             settings.identity, settings.seeds, self.peers, self._hubs, outside, clock
         )
-        self.agent = Agent(settings.zone, directory, self._tell_leader, clock)
+        self.agent = Agent(settings.zone, directory, self._send_to_leader, clock)
         self.records = SharedRecords(
             decode,
             in_force,
@@ -140,7 +140,7 @@
             clock,
             log,
         )
-        self.desk = OrderDesk(
+        self.desk = OrderRouter(
             settings.name, holder, self.leases, self.peers, outside, clock, log
         )
         self.quotas = Quotas(
@@ -149,7 +149,7 @@
             in_force,
             self.peers,
             lambda: self.membership.knows_others,
-            self._tell,
+            self._send,
             clock,
             metrics,
             log,
@@ -160,7 +160,7 @@
             directory.life_of,
             lambda: self.quotas.instances,
             self.quotas.leaves_since,
-            self._tell,
+            self._send,
             clock,
             metrics,
         )
@@ -171,7 +171,7 @@
             self.permits,
             residency,
             outside,
-            self._tell,
+            self._send,
             self._hubs.linked_hubs,
             clock,
             metrics,
@@ -186,12 +186,12 @@
             lambda: self._has_customers,
             self.quotas.leaves_since,
             self._catch_up_configuration,
-            self._tell,
+            self._send,
             clock,
             log,
         )
         self.crash_notices = CrashNotices(
-            settings.name, quarantine, self.peers, self._hubs, self._tell
+            settings.name, quarantine, self.peers, self._hubs, self._send
         )
         self.crashes = CrashReports(
             settings.name,
@@ -204,29 +204,29 @@
             log,
         )
         self.departures = Departures(
-            directory, self.peers, self._hubs, self._apply_upstreams, self._tell, log
+            directory, self.peers, self._hubs, self._apply_upstreams, self._send, log
         )
         self.limit_notices = LimitNotices(
             limits,
             self.peers,
             self._hubs,
             self.permits.limits_changed,
-            self._tell,
+            self._send,
             clock,
             log,
         )
-        self.lookups = Lookups(settings.name, residency, self._hubs, self._tell)
+        self.lookups = Lookups(settings.name, residency, self._hubs, self._send)
         self._gauges = Gauges(
             directory, self.peers, self.records, self.scheduling, metrics, clock
         )
         self._election = Election(settings.name, self.peers, self._hubs, clock)
         self.leader: str | None = None
         self.stopping = False
-        self._release = Release(self.desk, self.leases, clock)
+        self._lease_handover = LeaseHandover(self.desk, self.leases, clock)
         self._first_read = FirstRead(self._hubs, clock)
         self._readers = Readers(settings.name, self.peers, self._hubs, clock)
         self.reads_itself = False
-        self._beats = Beats(
+        self._heartbeats = Beats(
             settings.name,
             settings.zone,
             self.peers,
@@ -234,65 +234,72 @@
             outside,
             lambda: self.reads_itself,
             self.leases.claims,
-            self._make_beat,
+            self._make_heartbeat,
             clock,
         )
-        self._looked_after_at = ZERO
+        self._peers_checked_at = ZERO
 
     @property
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
-        return self._informed and not self.stopping
+        """Return whether this instance can serve requests."""
+        return self._has_needed_state and not self.stopping
 
     @property
     def settled(self) -> bool:
-        """Return whether a planned stop has handed everything over."""
-        return self.stopping and not self._release.pending and not self.leases.held
+        """Return whether a planned stop has released all leases."""
+        return (
+            self.stopping and not self._lease_handover.pending and not self.leases.held
+        )
 
     # Start and stop
 
     def start(self) -> None:
-        """Register, and begin to link to the others."""
+        """Register this instance and start linking to the others."""
         self.membership.register_if_due()
         self.membership.relink()
 
     def stop(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self.stopping = True
-        self._release.begin()
+        self._lease_handover.begin()
         self.outside.unregister()
-        self._beats.send_all(self.leader)
+        self._heartbeats.send_all(self.leader)
 
     def instances(self, records: list[InstanceRecord]) -> None:
-        """Take in that this instance is registered, and which others are."""
+        """Handle the register's contents, read after this instance registered."""
         self.membership.registered(records)
-        self._read_first()
+        self._read_log_at_start()
 
-    def _read_first(self) -> None:
-        """Read the log while nothing is known, where peers are not the ones to ask."""
-        if not self._informed and self._first_read.due(self.membership.knows_others):
+    def _read_log_at_start(self) -> None:
+        """Read the log once if needed state is missing and peers don't supply it."""
+        if not self._has_needed_state and self._first_read.due(
+            self.membership.knows_others
+        ):
             for topic in SHARED_TOPICS:
                 self.outside.read_now(topic)
 
     @property
-    def _informed(self) -> bool:
-        """Return whether this instance knows enough to serve."""
+    def _has_needed_state(self) -> bool:
+        """Return whether this instance has the state that it needs to serve."""
         needed = self._in_force.table is not None and self.records.knows_all
         crashes = self.records.knows_latest(Topic.CRASHES) and self._was_greeted
         return self._first_read.suffices(needed, crashes)
 
     @property
     def _was_greeted(self) -> bool:
-        """Return whether another instance has told what the log may not say yet."""
+        """Return whether a peer has sent state that the log may not have yet.
+
+        Also true if there are no other instances.
+        """
         if self.membership.knows_others and not self.peers.by_name:
             return True
         return any(peer.beat is not None for peer in self.peers.by_name.values())
 
-    # What the log says
+    # Records of the shared log
 
     def followed(self, followed: Followed) -> None:
-        """Take in records that were read from the log."""
-        self.leases.log_answers()
+        """Apply records that were read from the log."""
+        self.leases.log_answered()
         self.records.followed(followed)
         if followed.topic is Topic.CONFIGURATION and followed.complete:
             self.proofs.read(followed.asked_at)
@@ -311,7 +318,7 @@
             return
         self.scheduling.set_upstreams(configuration)
         services = configuration.engine_services()
-        self.leases.follow(
+        self.leases.track_zones(
             {
                 upstream.zone
                 for name in services
@@ -326,21 +333,21 @@
     # The leases
 
     def lease_read(self, zone: str, result: Newest | Unavailable) -> None:
-        """Take in a zone's newest claims."""
+        """Handle the newest claims on a zone's lease."""
         self.leases.read(zone, result)
 
     def lease_appended(self, action: AppendClaim, result: AppendResult) -> None:
-        """Take in how a claim's append ended."""
+        """Handle the result of appending a claim."""
         before = len(self.leases.held)
         self.leases.appended(action, result)
         if len(self.leases.held) != before:
-            # Whoever schedules need not wait for the next beat to know.
-            self._beats.send_all(self.leader)
+            # The leader learns of the change without waiting for the next heartbeat.
+            self._heartbeats.send_all(self.leader)
 
     # Links
 
     def peer_up(self, peer: str) -> None:
-        """Take in that there is a link to an instance."""
+        """Handle a new link to an instance."""
         now = self._clock.monotonic()
         self.peers.up(peer, now)
         self._log.info("instance linked", peer=peer)
@@ -348,42 +355,43 @@
         self.departures.greet(peer)
         self.limit_notices.greet(peer)
         self.crash_notices.greet(peer)
-        # Its first beat tells that all the rest was told before.
-        self._beats.greet(peer, self.leader)
+        # The heartbeat must come last: the peer takes the first one as the sign that
+        # it has received everything above.
+        self._heartbeats.greet(peer, self.leader)
         self.membership.relink()
 
     def peer_down(self, peer: str) -> None:
-        """Take in that a link is gone."""
+        """Handle the loss of a link."""
         self.peers.down(peer, self._clock.monotonic())
         self._log.info("instance lost", peer=peer)
         self.scheduling.instance_gone(peer)
-        self._beats.forget(peer)
+        self._heartbeats.forget(peer)
         self.quotas.forget(peer)
         self._elect()
         self.membership.relink()
 
     def peer_message(self, peer: str, message: Any) -> None:
-        """Take in a message of a linked instance."""
+        """Handle a message of a linked instance."""
         if not inbox.handle(self, peer, message):
             self._metrics.count("bad_frames", "unexpected")
 
     def beaten(self, peer: str, beat: messages.Beat) -> None:
-        """Take in another instance's sign of life."""
+        """Handle a heartbeat of another instance."""
         now = self._clock.monotonic()
-        led_before = self.peers.leads(peer)
-        told_news = self.peers.beat(peer, beat, now)
+        was_leading = self.peers.leads(peer)
+        peer_changed = self.peers.beat(peer, beat, now)
         for row in beat.claims:
-            self.leases.heard(Claim.from_row(row))
-        self.scheduling.heard(beat.epoch)
+            self.leases.claim_received(Claim.from_row(row))
+        self.scheduling.epoch_received(beat.epoch)
         self.membership.compare(peer, beat.instances)
         self.quotas.beaten(peer, beat)
-        if told_news:
+        if peer_changed:
             self._elect()
         if beat.leads and peer == self.leader:
             self.proofs.heard(peer)
-            self.permits.heard(peer)
-        if beat.leads and not led_before and peer == self.leader:
-            # What it was told before it began to lead, it has passed over.
+            self.permits.leader_heartbeat(peer)
+        if beat.leads and not was_leading and peer == self.leader:
+            # It ignored what this instance sent before it became the leader.
             self.agent.greet_leader()
         for topic in SHARED_TOPICS:
             peer_offset = Position(beat.offsets.get(str(topic), NOT_WHOLE))
@@ -391,37 +399,37 @@
         self.records.pull_newer_version(peer, beat.configuration)
 
     def share_left(self, peer: str, since: int) -> None:
-        """Take in that an instance leaves its share of all rates here."""
-        self.quotas.left(peer, since)
-        self.permits.left(peer, since)
+        """Handle an instance's delegation of its share of all rates to this one."""
+        self.quotas.share_delegated(peer, since)
+        self.permits.share_delegated(peer, since)
 
     def asked(self, peer: str, ask: messages.Ask) -> None:
-        """Take in a request of another instance that waits for its adapter."""
+        """Handle another instance's request that waits for its adapter."""
         if not self.scheduling.leads:
-            # The asker knows no better yet; it hears of the leader with a beat.
-            self._beats.greet(peer, self.leader)
+            # The sender has not heard of the current leader; a heartbeat names it.
+            self._heartbeats.greet(peer, self.leader)
             return
         self.scheduling.asked(peer, ask)
 
-    def _tell(self, instance: str, message: Any) -> None:
+    def _send(self, instance: str, message: Any) -> None:
         if instance == self._settings.name:
             self.peer_message(instance, message)
             return
         self.outside.send_to(instance, message)
 
-    def _tell_leader(self, message: Any) -> None:
+    def _send_to_leader(self, message: Any) -> None:
         if self.leader is not None:
-            self._tell(self.leader, message)
+            self._send(self.leader, message)
 
-    # Who schedules
+    # Leader election
 
     def _elect(self) -> None:
-        """Follow the leader, or be it."""
+        """Choose the leader, and start or end scheduling accordingly."""
         leader = self._election.choose(self.scheduling.leads, self.stopping)
         own = self._settings.name
         if leader == own and not self.scheduling.leads:
             self.scheduling.begin(self._configuration())
-            self._beats.send_all(own)
+            self._heartbeats.send_all(own)
         if leader != own:
             self.scheduling.end()
         if leader == self.leader:
@@ -443,7 +451,7 @@
     # Engines
 
     def order_answered(self, order: Order, answer: OrderAnswer) -> None:
-        """Take in how an order ended."""
+        """Handle the outcome of an order that this instance sent to an engine."""
         self.desk.ended(order, answer)
         if answer is OrderAnswer.FENCED:
             self.leases.order_fenced(order.zone, order.fence)
@@ -453,22 +461,22 @@
         self.desk.answered(order, answer)
 
     def reported(self, upstream: str, report: EngineReport | None) -> None:
-        """Take in what an engine holds."""
+        """Handle an engine's report; None if it did not answer."""
         self.scheduling.reported(upstream, report)
         if report is not None and report.leaves:
             self.engine_leaves(upstream)
 
     def engine_leaves(self, upstream: str) -> None:
-        """Take in that an engine leaves, as its answer to an order or question said."""
+        """Handle an engine's notice, in an answer to this instance, that it leaves."""
         notice = UpstreamLeaves(upstream, self._directory.life_of(upstream))
         self.departures.noticed(notice)
 
     def engine_limited(
         self, upstream: str, per_second: float | None, asked_at: timedelta
     ) -> None:
-        """Take in the limit that an engine's answer to an order or question named.
+        """Handle the rate limit named in an engine's answer to an order or report.
 
-        None says nothing: only answers to requests end a limit.
+        None leaves a known limit as it is: only answers to requests can end a limit.
         """
         if per_second is None:
             return
@@ -476,42 +484,42 @@
         now = self._clock.monotonic()
         self.limit_notices.noticed(NamedLimit(life, per_second, asked_at, now))
 
-    # Time
+    # Periodic work
 
     def settle(self) -> None:
-        """Do what is due after a round of messages."""
+        """Act on the changes that a batch of messages has made."""
         if self.leader is not None:
             self.agent.tell_uses()
-        if self.quotas.take_news():
-            self._beats.send_all(self.leader)
-        self.crash_notices.tell_held(self.crashes.note_held())
+        if self.quotas.take_tight_changed():
+            self._heartbeats.send_all(self.leader)
+        self.crash_notices.tell_held(self.crashes.update_quarantined())
         self.crashes.step()
         self.scheduling.plan(by_time=False)
 
     def tick(self) -> None:
-        """Do what is due by time."""
+        """Do the periodic work that is due."""
         now = self._clock.monotonic()
         if not self.stopping:
             self.membership.register_if_due()
-        self._read_first()
+        self._read_log_at_start()
         self.records.tick()
-        self._release.step()
+        self._lease_handover.step()
         self._elect()
-        self._choose_to_read()
+        self._update_log_reading()
         self.proofs.keep(self.leader)
-        self.quotas.return_left_over()
+        self.quotas.return_unused_tokens()
         self.crashes.tick()
         self.leases.step()
-        self._beats.send_due(self.leader)
-        if now - self._looked_after_at >= LOOK_AFTER_PEERS_EVERY:
-            self._looked_after_at = now
-            self._look_after_peers(now)
+        self._heartbeats.send_due(self.leader)
+        if now - self._peers_checked_at >= PEER_CHECK_INTERVAL:
+            self._peers_checked_at = now
+            self._check_peers(now)
             self._gauges.measure(self.ready)
         self.settle()
         self.scheduling.plan(by_time=True)
 
-    def _choose_to_read(self) -> None:
-        """Decide whether this instance reads the log itself."""
+    def _update_log_reading(self) -> None:
+        """Update whether this instance reads the log itself."""
         reads = self._readers.reads_itself(self.leader)
         if reads == self.reads_itself:
             return
@@ -519,7 +527,7 @@
         event = "reads the log" if reads else "leaves the log to others"
         self._log.info(event, leader=self.leader)
 
-    def _look_after_peers(self, now: timedelta) -> None:
+    def _check_peers(self, now: timedelta) -> None:
         for peer in self.peers.silent(now):
             self._log.info("instance silent", peer=peer)
             self.outside.drop(peer, "silent")
@@ -528,7 +536,7 @@
         self.peers.forget_lost(now)
         self.membership.relink()
 
-    def _make_beat(self, every: timedelta, claims: list[Claim]) -> messages.Beat:
+    def _make_heartbeat(self, every: timedelta, claims: list[Claim]) -> messages.Beat:
         return messages.Beat(
             self.stopping,
             self.records.reads_for // MILLISECOND,
--- a/packages/ashhoist/src/ashhoist/control/crash_notices.py
+++ b/packages/ashhoist/src/ashhoist/control/crash_notices.py
@@ -1,7 +1,8 @@
-"""What instances tell each other of requests that were cut off, beside the log.
+"""Notices between instances about requests that upstreams crashed under.
 
-A crash is written to the log together with others, and the log may be away. Whoever
-starts meanwhile, or is linked anew, would send the request on to one more upstream.
+They complement the crash records on the log: those are written in batches, and the log
+may be unavailable. Without notices, an instance that starts or is newly linked in the
+meantime would send the request to one more upstream.
 """
 
 from collections.abc import Callable
@@ -12,19 +13,20 @@
 from .hubs import Hubs
 from .peers import Peers
 
-MOST_GREETED = 4096
-"""Requests cut at this instance that a new link is told: some 100 kB. With a log that
-is away for long, and zones that are cut, all of them would be many times as much."""
+MAX_REQUESTS_PER_GREETING = 4096
+"""Requests, interrupted at this instance, that are sent to a newly linked instance:
+about 100 kB. During a long outage of the log with partitioned zones, sending all of
+them would take many times as much."""
 
 
 class CrashNotices:
-    """Crashes that links tell, as long as they do not stand on the log.
+    """Sends crashes that are not on the log yet to other instances, and receives them.
 
     Parameters
     ----------
     own : str
         This instance's name.
-    tell : callable
+    send : callable
         Takes the name of an instance and a message for it.
     """
 
@@ -34,42 +36,49 @@
         quarantine: Quarantine,
         peers: Peers,
         hubs: Hubs,
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
     ) -> None:
         self._own = own
         self._quarantine = quarantine
         self._peers = peers
         self._hubs = hubs
-        self._tell = tell
+        self._send = send
 
     def tell_held(self, requests: list[str]) -> None:
-        """Tell all why requests are held back: others may lack what the log says."""
+        """Send all linked instances the crashes behind quarantined requests.
+
+        Other instances may not have read the crash records from the log yet.
+        """
         if not requests:
             return
         self._tell_all(self._peers.linked(), self._quarantine.behind(requests))
 
     def greet(self, peer: str) -> None:
-        """Tell a newly linked instance what the log does not say.
+        """Send a newly linked instance the crashes that are not on the log.
 
-        That is what was seen here, and what holds requests back, wherever seen. Passed
-        on from link to link, all that was seen anywhere would grow with instances.
+        These are the crashes seen here, and those that quarantine a request, wherever
+        they were seen. If all crashes seen anywhere were relayed, the volume would grow
+        with the number of instances.
         """
         held = self._quarantine.behind(self._quarantine.held_unwritten())
         self._tell_all([peer], [*held, *self._seen_here()])
 
     def _seen_here(self) -> list[Crash]:
-        """Return what was seen here and is not written, as much as is told."""
-        found: list[Crash] = []
+        """Return unwritten crashes seen here, up to `MAX_REQUESTS_PER_GREETING`."""
+        crashes: list[Crash] = []
         requests = 0
         for crash in self._quarantine.unwritten(self._own):
             requests += len(crash.requests)
-            if requests > MOST_GREETED:
+            if requests > MAX_REQUESTS_PER_GREETING:
                 break
-            found.append(crash)
-        return found
+            crashes.append(crash)
+        return crashes
 
     def told(self, peer: str, message: messages.CrashesSeen) -> None:
-        """Take in what another instance knows; a hub tells its members what counts."""
+        """Record another instance's crashes.
+
+        A hub relays to its members those that quarantine a further request.
+        """
         crashes = [
             Crash(life, instance, frozenset(requests))
             for life, instance, requests in message.rows
@@ -78,8 +87,8 @@
         for crash in crashes:
             self._quarantine.seen(crash)
         newly_held = self._quarantine.held - held_before
-        told_on = self._quarantine.behind(sorted(newly_held))
-        self._tell_all(self._hubs.others_to_tell(peer), told_on)
+        relayed = self._quarantine.behind(sorted(newly_held))
+        self._tell_all(self._hubs.others_to_tell(peer), relayed)
 
     def _tell_all(self, receivers: list[str], crashes: list[Crash]) -> None:
         if not crashes:
@@ -88,4 +97,4 @@
             [crash.life, crash.instance, sorted(crash.requests)] for crash in crashes
         ]
         for receiver in receivers:
-            self._tell(receiver, messages.CrashesSeen(rows))
+            self._send(receiver, messages.CrashesSeen(rows))
--- a/packages/ashhoist/src/ashhoist/control/crash_reports.py
+++ b/packages/ashhoist/src/ashhoist/control/crash_reports.py
@@ -1,7 +1,7 @@
-"""Tells all instances, by the log, which requests were cut off where.
+"""Writes to the log which requests were interrupted by crashes of which upstreams.
 
-Only the log reaches them all: an instance that is cut off from the others, and one
-that starts after all were killed.
+Only the log reaches every instance, including one that is partitioned from the others
+and one that starts after all were killed.
 """
 
 from collections.abc import Callable
@@ -17,39 +17,40 @@
 from .outside import Outside
 from .peers import Peers
 
-FIRST_PAUSE = timedelta(milliseconds=500)
-LONGEST_PAUSE = timedelta(seconds=4)
-"""Between two tries to write while the log does not take them; doubles. Three instances
-made 80 tries in 18 s with even pauses of half a second, 24 so (virtual time)."""
-CALLS_A_SECOND = 2.0
-"""Calls to the log, each with all that waits. A zone's cut and the end of a third of 24
-upstreams are followed by 332 calls of 83 instances in ten seconds, and by 4,164 with a
-call for each record (virtual time). Half a second is little beside the seconds within
-which a request has to be held back."""
-CALLS_AT_ONCE = 2.0
-"""What is seen while the first call is under way goes with a second one."""
-HELD_CALLS_A_SECOND = 2.0
-"""Further calls, for crashes that hold a request back: whoever starts reads the log
-at once, and would send the request on if they waited behind others."""
-HELD_CALLS_AT_ONCE = 2.0
-MOST_BYTES = 1_000_000
-"""In one call: half of what the log takes."""
-MOST_UNWRITTEN = 1024
-"""Records that wait for a log that is away; the oldest give way."""
-PRUNE_EVERY = timedelta(seconds=10)
-REWRITE_EVERY = timedelta(seconds=5)
+MIN_RETRY_PAUSE = timedelta(milliseconds=500)
+MAX_RETRY_PAUSE = timedelta(seconds=4)
+"""Retry backoff while the log does not accept writes: doubles from the first to the
+longest pause. In 18 s of virtual time, three instances made 80 attempts with constant
+pauses of 0.5 s, and 24 with this backoff."""
+CALLS_PER_SECOND = 2.0
+"""Rate of calls to the log; each call writes all waiting records. When a zone was cut
+off and a third of 24 upstreams crashed, 83 instances made 332 calls in ten seconds of
+virtual time, against 4,164 with one call per record. The delay of half a second is
+small compared with the seconds within which a request has to be quarantined."""
+CALL_BURST = 2.0
+"""Allows a second call at once for crashes seen during the first one."""
+URGENT_CALLS_PER_SECOND = 2.0
+"""Additional calls for crashes that quarantine a request. An instance that starts reads
+the log at once, and would send the request on if these records waited behind others."""
+URGENT_CALL_BURST = 2.0
+MAX_CALL_BYTES = 1_000_000
+"""Size limit of one call: half of what the log accepts."""
+MAX_UNWRITTEN = 1024
+"""Records kept while the log is unavailable; the oldest are dropped."""
+PRUNE_INTERVAL = timedelta(seconds=10)
+REWRITE_INTERVAL = timedelta(seconds=5)
 """Interval at which the leader rewrites records that a restored log still lacks."""
 
 
 class CrashReports:
-    """What this instance writes of requests that were cut off.
+    """Writes this instance's crash records to the log.
 
     Parameters
     ----------
     own : str
         This instance's name.
     leads : callable
-        Returns whether this instance schedules: it drops what no longer counts.
+        Returns whether this instance is the leader, which deletes expired records.
     """
 
     def __init__(
@@ -76,36 +77,36 @@
         self._not_own: set[str] = set()
         self._handed_over: dict[str, bytes] = {}
         self._writing: dict[str, bytes] | None = None
-        self._calls = Bucket(
-            CALLS_A_SECOND, CALLS_AT_ONCE, CALLS_AT_ONCE, clock.monotonic()
+        self._call_bucket = Bucket(
+            CALLS_PER_SECOND, CALL_BURST, CALL_BURST, clock.monotonic()
         )
-        self._held_calls = Bucket(
-            HELD_CALLS_A_SECOND,
-            HELD_CALLS_AT_ONCE,
-            HELD_CALLS_AT_ONCE,
+        self._urgent_call_bucket = Bucket(
+            URGENT_CALLS_PER_SECOND,
+            URGENT_CALL_BURST,
+            URGENT_CALL_BURST,
             clock.monotonic(),
         )
         self._is_urgent = False
         self._retry_at = ZERO
-        self._pause = FIRST_PAUSE
+        self._pause = MIN_RETRY_PAUSE
         self._prune_at = ZERO
         self._rewrite_at = ZERO
         self._held: frozenset[str] = frozenset()
 
     def cut(self, message: RequestCut) -> None:
-        """Take in that an upstream broke off under a request of this instance."""
+        """Record that an upstream crashed while it ran a request of this instance."""
         crash = Crash(message.life, self._own, frozenset({message.request}))
         self._quarantine.seen(crash)
         self._seen_by_life.setdefault(message.life, set()).add(message.request)
 
     def whole(self, message: RequestWhole) -> None:
-        """Take in that a suspected request was answered whole."""
-        answered = Whole(message.request)
+        """Record the complete answer to a request, if the request is a suspect."""
+        record = Whole(message.request)
         if self._quarantine.is_suspect(message.request):
-            self._enqueue(answered.key, answered.encode())
+            self._enqueue(record.key, record.encode())
 
     def write_for(self, message: messages.WriteCrash) -> None:
-        """Write a record of an instance that the log has turned away."""
+        """Write a record on behalf of an instance that the log rejects."""
         self._not_own.add(message.key)
         self._enqueue(message.key, message.value)
         self.step()
@@ -113,52 +114,52 @@
     def _enqueue(self, key: str, value: bytes) -> None:
         self._unwritten.pop(key, None)
         self._unwritten[key] = value
-        while len(self._unwritten) > MOST_UNWRITTEN:
+        while len(self._unwritten) > MAX_UNWRITTEN:
             oldest = next(iter(self._unwritten))
             del self._unwritten[oldest]
             self._forget(oldest)
-            self._log.warning("crash not told", key=oldest, waiting=MOST_UNWRITTEN)
+            self._log.warning("crash not told", key=oldest, waiting=MAX_UNWRITTEN)
 
     def _enqueue_seen(self) -> None:
-        """Have written what was seen since the last time, one record for each life."""
+        """Enqueue the crashes seen since the last call, one record per incarnation."""
         seen, self._seen_by_life = self._seen_by_life, {}
         for life, requests in seen.items():
             crash = Crash(life, self._own, frozenset(requests))
             self._enqueue(crash.key, self._quarantine.to_write(crash).encode())
 
     def step(self) -> None:
-        """Write what waits, with one call at a time and few a second."""
+        """Write waiting records: one call at a time, within the rate limits."""
         self._enqueue_seen()
         now = self._clock.monotonic()
         if self._writing is not None or now < self._retry_at:
             return
         if not self._unwritten or not self._may_call(now):
             return
-        self._writing = self._take()
+        self._writing = self._take_batch()
         self._is_urgent = self._is_urgent and bool(self._unwritten)
         self._outside.append_crashes(self._writing)
 
     def _may_call(self, now: timedelta) -> bool:
-        """Return whether a call may be made now; it counts as made."""
-        if self._calls.take(1, now):
+        """Return whether a call may be made now; if so, count it against the limits."""
+        if self._call_bucket.take(1, now):
             return True
-        return self._is_urgent and self._held_calls.take(1, now)
+        return self._is_urgent and self._urgent_call_bucket.take(1, now)
 
-    def _take(self) -> dict[str, bytes]:
-        """Take the oldest records that fit into one call."""
-        taken: dict[str, bytes] = {}
+    def _take_batch(self) -> dict[str, bytes]:
+        """Remove and return the oldest records that fit into one call."""
+        batch: dict[str, bytes] = {}
         size = 0
         for key, value in self._unwritten.items():
             size += len(key) + len(value)
-            if taken and size > MOST_BYTES:
+            if batch and size > MAX_CALL_BYTES:
                 break
-            taken[key] = value
-        for key in taken:
+            batch[key] = value
+        for key in batch:
             del self._unwritten[key]
-        return taken
+        return batch
 
     def appended(self, result: AppendResult) -> None:
-        """Take in how a write ended."""
+        """Handle the result of a write."""
         if self._writing is None:
             return
         records, self._writing = self._writing, None
@@ -167,15 +168,16 @@
             for key in records:
                 self._forget(key)
                 self._quarantine.note_written(key, result.offset)
-            self._pause = FIRST_PAUSE
+            self._pause = MIN_RETRY_PAUSE
             self.step()
             return
-        # Written twice it says the same, if nothing is written between: a whole answer
-        # that came later must stay the newer record, and so must what was cut after it.
-        older = {key: records[key] for key in records if key not in self._unwritten}
-        self._unwritten = older | self._unwritten
+        # Writing a record twice is harmless if no other record is written in between.
+        # Newer records therefore stay behind these: a later complete answer, and the
+        # crashes after it, must remain the newer records on the log.
+        retried = {key: records[key] for key in records if key not in self._unwritten}
+        self._unwritten = retried | self._unwritten
         self._retry_at = self._clock.monotonic() + self._pause
-        self._pause = min(self._pause * 2, LONGEST_PAUSE)
+        self._pause = min(self._pause * 2, MAX_RETRY_PAUSE)
         self._log.warning(
             "crash not written",
             result=type(result).__name__,
@@ -184,10 +186,10 @@
         )
 
     def _ask_for_help(self) -> str | None:
-        """Let an instance write that the log answers; return its name.
+        """Ask an instance that reaches the log to write the records; return its name.
 
-        It is asked once for each record: this instance goes on trying as well, after
-        longer and longer pauses.
+        It is asked once for each record: this instance goes on retrying as well, with
+        increasing pauses.
         """
         helper = next(iter(self._peers.readers()), None)
         if helper is None:
@@ -204,16 +206,16 @@
         self._handed_over.pop(key, None)
 
     def tick(self) -> None:
-        """Do what is due by time."""
+        """Do the periodic work that is due."""
         self.step()
         now = self._clock.monotonic()
         if now < self._retry_at and self._unwritten:
-            # The log may answer others again before it is tried from here.
+            # The log may answer other instances again before the next attempt here.
             self._ask_for_help()
         self._rewrite_lost_records(now)
         if now < self._prune_at:
             return
-        self._prune_at = now + PRUNE_EVERY
+        self._prune_at = now + PRUNE_INTERVAL
         self._quarantine.forget_unwritten()
         if not self._leads():
             return
@@ -228,33 +230,36 @@
         lost = self._quarantine.lost_records()
         if not lost:
             return
-        self._rewrite_at = now + REWRITE_EVERY
+        self._rewrite_at = now + REWRITE_INTERVAL
         self._log.info("crashes written again", records=len(lost))
-        for said in lost:
-            self._enqueue(said.key, said.encode())
+        for record in lost:
+            self._enqueue(record.key, record.encode())
         self.step()
 
-    def note_held(self) -> list[str]:
-        """Note which requests are held back, and tell the operators.
+    def update_quarantined(self) -> list[str]:
+        """Update which requests are quarantined, and log the changes.
 
         Returns
         -------
         list of str
-            Those held back anew for what only this instance has seen, and not
-            written: it is written at once, and the others have to be told.
+            Newly quarantined requests with crashes that were seen here and are not on
+            the log yet, so that only this instance knows of them. They are written at
+            once; the caller has to notify the other instances.
         """
         held = self._quarantine.held
         if held == self._held:
             return []
-        begun = sorted(held - self._held)
-        for request in begun:
+        newly_held = sorted(held - self._held)
+        for request in newly_held:
             self._log.warning("request quarantined", fingerprint=request)
         for request in sorted(self._held - held):
             self._log.info("request released", fingerprint=request)
         self._metrics.gauge("quarantined_requests", len(held))
         self._held = held
         own = [
-            name for name in begun if self._quarantine.has_unwritten(name, self._own)
+            name
+            for name in newly_held
+            if self._quarantine.has_unwritten(name, self._own)
         ]
         self._is_urgent = self._is_urgent or bool(own)
         return own
--- a/packages/ashhoist/src/ashhoist/control/departures.py
+++ b/packages/ashhoist/src/ashhoist/control/departures.py
@@ -1,8 +1,9 @@
-"""Upstreams that say in their answers that they leave: known here, told to all.
+"""Notices between instances about upstreams that are leaving.
 
-An upstream writes on the log that it leaves, but the log may be away for as long as it
-takes to leave. Its answers say so too, to whoever gets one; the others, and whoever
-places requests, have to be told.
+An upstream announces on the log that it is leaving, but the log may be unavailable
+until it has gone. Its answers announce it as well, but only to the instance that
+receives them; that instance notifies the others, including the leader, which places
+requests.
 """
 
 from collections.abc import Callable
@@ -16,13 +17,13 @@
 
 
 class Departures:
-    """What this instance knows of leaving beside the log.
+    """Learns of leaving upstreams from answers and other instances, and relays that.
 
     Parameters
     ----------
     upstreams_changed : callable
-        Called when which upstreams take work has changed.
-    tell : callable
+        Called when the set of upstreams that take work has changed.
+    send : callable
         Takes the name of an instance and a message for it.
     """
 
@@ -32,48 +33,50 @@
         peers: Peers,
         hubs: Hubs,
         upstreams_changed: Callable[[], None],
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
         log: Logger,
     ) -> None:
         self._directory = directory
         self._peers = peers
         self._hubs = hubs
         self._upstreams_changed = upstreams_changed
-        self._tell = tell
+        self._send = send
         self._log = log
 
     def noticed(self, notice: UpstreamLeaves) -> None:
-        """Take in what an answer to this instance said."""
-        if self._take([notice], "answer"):
+        """Handle a notice in an upstream's answer to this instance."""
+        if self._apply([notice], "answer"):
             self._tell_all(self._peers.linked(), [notice])
 
     def told(self, peer: str, message: messages.Leaving) -> None:
-        """Take in what another instance knows; a hub tells its members."""
+        """Handle another instance's notices; a hub relays new ones to its members."""
         notices = [UpstreamLeaves(*row) for row in message.rows]
-        news = self._take(notices, peer)
-        self._tell_all(self._hubs.others_to_tell(peer), news)
+        new_notices = self._apply(notices, peer)
+        self._tell_all(self._hubs.others_to_tell(peer), new_notices)
 
     def greet(self, peer: str) -> None:
-        """Tell a newly linked instance what the log does not say."""
+        """Send a newly linked instance the notices that are not on the log."""
         self._tell_all([peer], self._directory.leaving_unwritten())
 
-    def _take(self, notices: list[UpstreamLeaves], source: str) -> list[UpstreamLeaves]:
-        """Take in notices; return those that were news."""
-        news = [notice for notice in notices if self._directory.leaves(notice)]
-        for notice in news:
+    def _apply(
+        self, notices: list[UpstreamLeaves], source: str
+    ) -> list[UpstreamLeaves]:
+        """Apply notices; return those that were new."""
+        new_notices = [notice for notice in notices if self._directory.leaves(notice)]
+        for notice in new_notices:
             self._log.info(
                 "upstream leaves",
                 upstream=notice.upstream_id,
                 life=notice.life,
                 source=source,
             )
-        if news:
+        if new_notices:
             self._upstreams_changed()
-        return news
+        return new_notices
 
     def _tell_all(self, receivers: list[str], notices: list[UpstreamLeaves]) -> None:
         if not notices:
             return
         rows = [[notice.upstream_id, notice.life] for notice in notices]
         for receiver in receivers:
-            self._tell(receiver, messages.Leaving(rows))
+            self._send(receiver, messages.Leaving(rows))
--- a/packages/ashhoist/src/ashhoist/control/engines.py
+++ b/packages/ashhoist/src/ashhoist/control/engines.py
@@ -1,4 +1,4 @@
-"""Orders and reports on the wire: one exchange at a time with each engine."""
+"""Sends orders to engines and requests reports: one exchange at a time per engine."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,22 +11,23 @@
 from ..orders import EngineReport, Order, OrderAnswer, OrderReply
 from ..placement.actions import AskReport
 
-LEAST_PATIENCE = timedelta(milliseconds=80)
-MOST_PATIENCE = timedelta(milliseconds=250)
-PATIENCE_TIMES = 5
-"""An order is taken for lost after so many times what answers usually take."""
-MOST_DOUBLINGS = 4
-USUAL_AT_FIRST = timedelta(milliseconds=20)
+MIN_ORDER_TIMEOUT = timedelta(milliseconds=80)
+MAX_ORDER_TIMEOUT = timedelta(milliseconds=250)
+ORDER_TIMEOUT_FACTOR = 5
+"""Order timeout as a multiple of the engine's usual answer time."""
+MAX_DOUBLINGS = 4
+INITIAL_ANSWER_TIME = timedelta(milliseconds=20)
 SMOOTHING = 0.2
-REPORT_PATIENCE = timedelta(milliseconds=700)
+REPORT_TIMEOUT = timedelta(milliseconds=700)
 UNSENT_KEPT = timedelta(milliseconds=300)
-"""How long the system may try to send an order: a successor orders half a second behind
-the last moment in which this instance may, and the system ends such a try late."""
+"""How long the operating system may try to transmit an order. The next lease holder
+sends orders from half a second after the last moment at which this instance may, and
+the operating system is late in ending such an attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderDone:
-    """An order's exchange has ended, which began at `sent_at`."""
+    """The outcome of an order whose exchange began at `sent_at`."""
 
     order: Order
     reply: OrderReply
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportDone:
-    """An engine was asked what it holds, at `sent_at`; None if it did not answer."""
+    """An engine's report, requested at `sent_at`; None if it did not answer."""
 
     upstream: str
     report: EngineReport | None
@@ -43,48 +44,48 @@
 
 
 @dataclass(slots=True)
-class _Line:
-    """A connection to one engine, and what waits for its turn on it.
+class _Connection:
+    """A connection to one engine, and the queue of exchanges on it.
 
     Parameters
     ----------
-    usual : timedelta
-        How long the engine usually takes to answer an order.
+    answer_time : timedelta
+        Moving average of the time that the engine takes to answer an order.
     unanswered : int
-        Orders in a row that it left without an answer.
+        Number of consecutive orders without an answer.
     """
 
     client: Client
     waiting: deque[Order | AskReport] = field(default_factory=deque)
     busy: bool = False
     forgotten: bool = False
-    usual: timedelta = USUAL_AT_FIRST
+    answer_time: timedelta = INITIAL_ANSWER_TIME
     unanswered: int = 0
 
     @property
-    def patience(self) -> timedelta:
+    def order_timeout(self) -> timedelta:
         """Return how long to wait for the answer to an order.
 
-        An engine that leaves one order unanswered holds up all its others, so
-        this is short; each one in a row is given twice the time of that before.
+        The timeout is short because an unanswered order delays all others for the same
+        engine. From the second consecutive unanswered order on, it doubles each time.
         """
-        patience = max(self.usual * PATIENCE_TIMES, LEAST_PATIENCE)
-        doublings = min(max(self.unanswered - 1, 0), MOST_DOUBLINGS)
-        return min(patience * 2**doublings, MOST_PATIENCE)
+        base = max(self.answer_time * ORDER_TIMEOUT_FACTOR, MIN_ORDER_TIMEOUT)
+        doublings = min(max(self.unanswered - 1, 0), MAX_DOUBLINGS)
+        return min(base * 2**doublings, MAX_ORDER_TIMEOUT)
 
-    def learn(self, answer: OrderAnswer, took: timedelta) -> None:
-        """Take in how long an answer took, or that there was none."""
+    def record_outcome(self, answer: OrderAnswer, took: timedelta) -> None:
+        """Update the answer time, or count an order without an answer."""
         if answer is OrderAnswer.NOT_SENT:
             return
         if answer is OrderAnswer.UNKNOWN:
             self.unanswered += 1
             return
         self.unanswered = 0
-        self.usual += (took - self.usual) * SMOOTHING
+        self.answer_time += (took - self.answer_time) * SMOOTHING
 
 
 class EngineProtocol(Protocol):
-    """How orders and reports are spoken; a platform gives it."""
+    """The wire protocol for orders and reports; the platform implements it."""
 
     def order(
         self,
@@ -93,33 +94,33 @@
         patience: timedelta,
         may_send: Callable[[], bool],
     ) -> Steps[OrderReply]:
-        """Send an order, if it still may leave; return what is known of it."""
+        """Send an order unless `may_send` returns False; return its outcome."""
 
     def report(
         self, client: Client, upstream: str, patience: timedelta
     ) -> Steps[EngineReport | None]:
-        """Ask an engine what it holds."""
+        """Request a report; return None if the engine does not answer."""
 
 
 def order_client(address: str, loop: Loop) -> Client:
     """Return a client for orders to one engine.
 
-    What the system still holds of an order when this process ends, or stands still,
-    must not arrive behind the first orders of a successor.
+    If this process ends or is suspended, data of an order that the operating system has
+    not transmitted yet must not arrive after the first orders of the next lease holder.
     """
     return Client(address, loop, UNSENT_KEPT)
 
 
 class EngineControl:
-    """Talks to engines, one exchange at a time with each.
+    """Runs the exchanges with engines, one at a time per engine.
 
     Parameters
     ----------
     may_order : callable
-        Returns whether the order's fence still holds; asked before a connection is
-        opened, and again right before the order leaves.
+        Returns whether the order's fence is still valid; called before a connection is
+        opened, and again right before the order is sent.
     send : callable
-        Takes the results to the control task.
+        Passes a result to the control task.
     """
 
     def __init__(
@@ -133,65 +134,73 @@
         self._may_order = may_order
         self._send = send
         self._loop = loop
-        self._lines: dict[str, _Line] = {}
+        self._connections: dict[str, _Connection] = {}
 
     def order(self, order: Order) -> None:
-        """Send an order; the result comes as `OrderDone`."""
-        self._enqueue(self._line(order.upstream, order.address), order)
+        """Send an order; the outcome is passed on as `OrderDone`."""
+        self._enqueue(self._connection(order.upstream, order.address), order)
 
     def report(self, request: AskReport) -> None:
-        """Ask an engine what it holds; the result comes as `ReportDone`."""
-        self._enqueue(self._line(request.upstream, request.address), request)
+        """Request a report from an engine; it is passed on as `ReportDone`."""
+        self._enqueue(self._connection(request.upstream, request.address), request)
 
-    def _enqueue(self, line: "_Line", item: Order | AskReport) -> None:
-        line.waiting.append(item)
-        if not line.busy:
-            line.busy = True
-            Task(self._loop, self._talk(line), "engine")
+    def _enqueue(self, connection: "_Connection", item: Order | AskReport) -> None:
+        connection.waiting.append(item)
+        if not connection.busy:
+            connection.busy = True
+            Task(self._loop, self._run_queue(connection), "engine")
 
-    def _talk(self, line: "_Line") -> Steps[None]:
-        """Make all exchanges that wait for one engine, in their order."""
+    def _run_queue(self, connection: "_Connection") -> Steps[None]:
+        """Run all queued exchanges with one engine, in order."""
         try:
-            while line.waiting:
-                item = line.waiting.popleft()
+            while connection.waiting:
+                item = connection.waiting.popleft()
                 if isinstance(item, Order):
-                    yield from self._order(line, item)
+                    yield from self._order(connection, item)
                 else:
-                    yield from self._report(line, item)
+                    yield from self._report(connection, item)
         finally:
-            line.busy = False
-            if line.forgotten:
-                line.client.close()
+            connection.busy = False
+            if connection.forgotten:
+                connection.client.close()
 
-    def _order(self, line: "_Line", order: Order) -> Steps[None]:
+    def _order(self, connection: "_Connection", order: Order) -> Steps[None]:
         reply = OrderReply(OrderAnswer.NOT_SENT)
         sent_at = self._loop.clock.monotonic()
         if self._may_order(order):
-            # While it connects, this instance may stand still and its lease lapse.
+            # The lease may lapse while the connection is being opened, for example if
+            # this process is suspended; it is therefore checked again before sending.
             reply = yield from self._protocol.order(
-                line.client, order, line.patience, lambda: self._may_order(order)
+                connection.client,
+                order,
+                connection.order_timeout,
+                lambda: self._may_order(order),
+            )
+            connection.record_outcome(
+                reply.answer, self._loop.clock.monotonic() - sent_at
             )
-            line.learn(reply.answer, self._loop.clock.monotonic() - sent_at)
         self._send(OrderDone(order, reply, sent_at))
 
-    def _report(self, line: "_Line", request: AskReport) -> Steps[None]:
+    def _report(self, connection: "_Connection", request: AskReport) -> Steps[None]:
         sent_at = self._loop.clock.monotonic()
         report = yield from self._protocol.report(
-            line.client, request.upstream, REPORT_PATIENCE
+            connection.client, request.upstream, REPORT_TIMEOUT
         )
         self._send(ReportDone(request.upstream, report, sent_at))
 
-    def _line(self, upstream: str, address: str) -> "_Line":
-        line = self._lines.get(upstream)
-        if line is None:
-            line = self._lines[upstream] = _Line(order_client(address, self._loop))
-        return line
+    def _connection(self, upstream: str, address: str) -> "_Connection":
+        connection = self._connections.get(upstream)
+        if connection is None:
+            connection = self._connections[upstream] = _Connection(
+                order_client(address, self._loop)
+            )
+        return connection
 
     def forget(self, upstream: str) -> None:
-        """Close the connection to an engine that has gone."""
-        line = self._lines.pop(upstream, None)
-        if line is None:
+        """Close the connection to an engine that no longer exists."""
+        connection = self._connections.pop(upstream, None)
+        if connection is None:
             return
-        line.forgotten = True
-        if not line.busy:
-            line.client.close()
+        connection.forgotten = True
+        if not connection.busy:
+            connection.client.close()
--- a/packages/ashhoist/src/ashhoist/control/lease_calls.py
+++ b/packages/ashhoist/src/ashhoist/control/lease_calls.py
@@ -1,8 +1,8 @@
-"""Makes the lease's store calls: by itself, or through an instance that can.
+"""Makes the store calls of a lease: directly, or through another instance.
 
-A holder that the log turns away while the others are served would lose its lease
-for nothing. It lets a linked instance read and append for it. Its authority counts
-from before it asked, as with calls of its own.
+If the log rejects the lease holder but serves other instances, the holder would lose
+its lease needlessly. It asks a linked instance to read and append on its behalf. As
+with direct calls, the lease term counts from before the call was requested.
 """
 
 from collections.abc import Callable
@@ -27,32 +27,33 @@
 from .outside import Outside
 from .peers import Peers
 
-PATIENCE = timedelta(milliseconds=450)
+DELEGATED_CALL_TIMEOUT = timedelta(milliseconds=450)
 APPENDED, CONDITION, UNAVAILABLE, UNKNOWN = (
     "appended",
     "condition",
     "unavailable",
     "unknown",
 )
+"""Results of an append as they are sent between instances."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """A call that another instance makes for this one."""
+class _DelegatedCall:
+    """A pending call that another instance makes for this one."""
 
     number: int
     action: LeaseAction
     peer: str
-    until: timedelta
+    deadline: timedelta
 
 
 class LeaseCalls:
-    """Where the calls of one lease go, and what comes back.
+    """Routes the store calls of one lease, and passes the results to the lease.
 
     Parameters
     ----------
     done : callable
-        Called after the lease has taken in an answer.
+        Called after the lease has processed a result.
     """
 
     def __init__(
@@ -72,129 +73,138 @@
         self._done = done
         self._clock = clock
         self._log = log
-        self._asked: _Asked | None = None
-        self._numbers = 0
-        self._own_way = True
+        self._delegated: _DelegatedCall | None = None
+        self._last_number = 0
+        self._direct = True
         self._failed_peers: set[str] = set()
 
-    def log_answers(self) -> None:
-        """Note that the log has answered this instance."""
-        self._own_way = True
+    def log_answered(self) -> None:
+        """Return to direct calls: the log has answered this instance."""
+        self._direct = True
         self._failed_peers.clear()
 
     def step(self) -> None:
-        """Make the call that is due, if any; give up one that takes too long."""
+        """Make the call that is due, if any, after timing out a delegated one."""
         now = self._clock.monotonic()
-        if self._asked is not None and now >= self._asked.until:
-            self._give_up(self._asked)
+        if self._delegated is not None and now >= self._delegated.deadline:
+            self._time_out(self._delegated)
         action = self._lease.due()
         if action is None:
             return
-        peer = None if self._own_way else self._helper()
+        peer = None if self._direct else self._helper()
         if peer is None:
             self._outside.lease_call(action)
             return
-        self._ask(peer, action, now)
+        self._delegate(peer, action, now)
 
     def _helper(self) -> str | None:
-        """Return a linked instance that reads the log, if there is one."""
+        """Return a linked instance that reads the log, if there is one.
+
+        Once all of them have failed, they are tried again from the next call on.
+        """
         for name in self._peers.readers():
             if name not in self._failed_peers:
                 return name
         self._failed_peers.clear()
         return None
 
-    def _ask(self, peer: str, action: LeaseAction, now: timedelta) -> None:
-        self._numbers += 1
-        number = self._numbers
-        self._asked = _Asked(number, action, peer, now + PATIENCE)
+    def _delegate(self, peer: str, action: LeaseAction, now: timedelta) -> None:
+        self._last_number += 1
+        number = self._last_number
+        self._delegated = _DelegatedCall(
+            number, action, peer, now + DELEGATED_CALL_TIMEOUT
+        )
         message: Any = messages.ReadClaimsFor(self._zone, number)
         if isinstance(action, AppendClaim):
             value = action.claim.encode()
             message = messages.AppendClaimFor(self._zone, number, value, action.at)
         self._log.info(
-            "lease call through a peer", zone=self._zone, peer=peer, call=_name(action)
+            "lease call through a peer",
+            zone=self._zone,
+            peer=peer,
+            call=_call_name(action),
         )
         self._outside.send_to(peer, message)
 
-    def _give_up(self, asked: _Asked) -> None:
-        self._asked = None
-        self._failed_peers.add(asked.peer)
-        if isinstance(asked.action, ReadClaims):
-            self._take_read(Unavailable("peer silent"))
+    def _time_out(self, call: _DelegatedCall) -> None:
+        self._delegated = None
+        self._failed_peers.add(call.peer)
+        if isinstance(call.action, ReadClaims):
+            self._pass_read(Unavailable("peer silent"))
         else:
-            self._take_appended(asked.action, Unknown("peer silent"))
+            self._pass_appended(call.action, Unknown("peer silent"))
 
-    # Answers of the log itself
+    # Results of direct calls
 
     def read(self, result: Newest | Unavailable) -> None:
-        """Take in the newest claims as this instance has read them."""
+        """Handle the newest claims, read by this instance."""
         if isinstance(result, Unavailable):
-            self._own_way = False
-        self._take_read(result)
+            self._direct = False
+        self._pass_read(result)
 
     def appended(self, action: AppendClaim, result: AppendResult) -> None:
-        """Take in how an append of this instance ended."""
+        """Handle the result of an append by this instance."""
         if isinstance(result, Unavailable | Unknown):
-            self._own_way = False
-        self._take_appended(action, result)
+            self._direct = False
+        self._pass_appended(action, result)
 
-    # Answers through an instance
+    # Results of calls through another instance
 
     def claims_read(self, peer: str, message: messages.ClaimsRead) -> None:
-        """Take in the newest claims that an instance has read for this one."""
-        asked = self._answered(peer, message.number)
-        if asked is None:
+        """Handle the newest claims, read by another instance for this one."""
+        call = self._pop_delegated(peer, message.number)
+        if call is None:
             return
         if message.end < 0:
             self._failed_peers.add(peer)
-            self._take_read(Unavailable("peer turned away"))
+            self._pass_read(Unavailable("peer turned away"))
             return
         records = tuple(
             Record(Position(at), key, value) for at, key, value in message.records
         )
-        self._take_read(Newest(records, Position(message.end)))
+        self._pass_read(Newest(records, Position(message.end)))
 
     def claim_appended(self, peer: str, message: messages.ClaimAppended) -> None:
-        """Take in how an append that an instance has made ended."""
-        asked = self._answered(peer, message.number)
-        if asked is None or not isinstance(asked.action, AppendClaim):
+        """Handle the result of an append by another instance for this one."""
+        call = self._pop_delegated(peer, message.number)
+        if call is None or not isinstance(call.action, AppendClaim):
             return
         if message.result in (UNAVAILABLE, UNKNOWN):
             self._failed_peers.add(peer)
-        self._take_appended(asked.action, _result(message))
+        self._pass_appended(call.action, _result(message))
 
-    def _answered(self, peer: str, number: int) -> _Asked | None:
-        asked = self._asked
-        if asked is None or asked.number != number or asked.peer != peer:
+    def _pop_delegated(self, peer: str, number: int) -> _DelegatedCall | None:
+        """Remove and return the pending call if this answer belongs to it."""
+        call = self._delegated
+        if call is None or call.number != number or call.peer != peer:
             return None
-        self._asked = None
-        return asked
+        self._delegated = None
+        return call
 
-    def _take_read(self, result: Newest | Unavailable) -> None:
+    def _pass_read(self, result: Newest | Unavailable) -> None:
         self._lease.read(result)
         self._done()
 
-    def _take_appended(self, action: AppendClaim, result: AppendResult) -> None:
+    def _pass_appended(self, action: AppendClaim, result: AppendResult) -> None:
         self._lease.appended(action, result)
         self._done()
 
 
 def read_answer(
-    asked: messages.ReadClaimsFor, result: Newest | Unavailable
+    request: messages.ReadClaimsFor, result: Newest | Unavailable
 ) -> messages.ClaimsRead:
-    """Return what to tell an instance that claims were read for."""
+    """Return the message with the claims that were read for another instance."""
     if isinstance(result, Unavailable):
-        return messages.ClaimsRead(asked.zone, asked.number, -1, [])
+        return messages.ClaimsRead(request.zone, request.number, -1, [])
     rows = [[record.offset, record.key, record.value] for record in result.records]
-    return messages.ClaimsRead(asked.zone, asked.number, result.end, rows)
+    return messages.ClaimsRead(request.zone, request.number, result.end, rows)
 
 
 def append_answer(
-    asked: messages.AppendClaimFor, result: AppendResult
+    request: messages.AppendClaimFor, result: AppendResult
 ) -> messages.ClaimAppended:
-    """Return what to tell an instance that a claim was appended for."""
-    zone, number = asked.zone, asked.number
+    """Return the message with the result of an append for another instance."""
+    zone, number = request.zone, request.number
     if isinstance(result, Appended):
         return messages.ClaimAppended(zone, number, APPENDED, result.offset)
     if isinstance(result, ConditionFailed):
@@ -211,5 +221,5 @@
     return Unavailable("peer") if message.result == UNAVAILABLE else Unknown("peer")
 
 
-def _name(action: LeaseAction) -> str:
+def _call_name(action: LeaseAction) -> str:
     return "read" if isinstance(action, ReadClaims) else "append"
--- a/packages/ashhoist/src/ashhoist/control/limit_notices.py
+++ b/packages/ashhoist/src/ashhoist/control/limit_notices.py
@@ -1,6 +1,6 @@
-"""Limits that upstreams name in their answers: known here, told to all.
+"""Notices between instances about rate limits that upstreams name in their answers.
 
-A limit holds for all instances together, also for those that get no answer.
+A limit applies to all instances together, including those that receive no answer.
 """
 
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 
 
 class LimitNotices:
-    """What this instance tells others, and they it, of upstreams' limits.
+    """Learns upstreams' limits from answers and other instances, and relays them.
 
     Parameters
     ----------
     changed : callable
-        Called when a limit is another one.
-    tell : callable
+        Called when a limit has changed.
+    send : callable
         Takes the name of an instance and a message for it.
     """
 
@@ -34,7 +34,7 @@
         peers: Peers,
         hubs: Hubs,
         changed: Callable[[], None],
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
         clock: Clock,
         log: Logger,
     ) -> None:
@@ -42,50 +42,55 @@
         self._peers = peers
         self._hubs = hubs
         self._changed = changed
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._log = log
 
     def noticed(self, named: NamedLimit) -> None:
-        """Take in what an answer to this instance said."""
-        self._tell_all(self._peers.linked(), self._take([named], "answer"))
+        """Handle a limit named in an upstream's answer to this instance."""
+        self._tell_all(self._peers.linked(), self._apply([named], "answer"))
 
     def told(self, peer: str, message: messages.LimitsNamed) -> None:
-        """Take in what another instance knows; a hub tells its members."""
+        """Handle another instance's limits; a hub relays new ones to its members."""
         now = self._clock.monotonic()
-        news = self._take([_decode(row, now) for row in message.rows], peer)
-        self._tell_all(self._hubs.others_to_tell(peer), news)
+        new_limits = self._apply([_decode(row, now) for row in message.rows], peer)
+        self._tell_all(self._hubs.others_to_tell(peer), new_limits)
 
     def greet(self, peer: str) -> None:
-        """Tell a newly linked instance all that is known."""
+        """Send a newly linked instance all known limits."""
         self._tell_all([peer], self._limits.all())
 
-    def _take(self, found: list[NamedLimit], source: str) -> list[NamedLimit]:
-        """Take in limits; return those that were news."""
-        news = [named for named in found if self._limits.take(named)]
-        for named in news:
+    def _apply(self, limits: list[NamedLimit], source: str) -> list[NamedLimit]:
+        """Apply limits; return those that were new."""
+        new_limits = [named for named in limits if self._limits.take(named)]
+        for named in new_limits:
             self._log.info(
                 "upstream limit changed",
                 life=named.life,
                 per_second=named.per_second,
                 source=source,
             )
-        if news:
+        if new_limits:
             self._changed()
-        return news
+        return new_limits
 
-    def _tell_all(self, receivers: list[str], found: list[NamedLimit]) -> None:
-        if not found or not receivers:
+    def _tell_all(self, receivers: list[str], limits: list[NamedLimit]) -> None:
+        if not limits or not receivers:
             return
         now = self._clock.monotonic()
-        message = messages.LimitsNamed([_encode(named, now) for named in found])
+        message = messages.LimitsNamed([_encode(named, now) for named in limits])
         for receiver in receivers:
-            self._tell(receiver, message)
+            self._send(receiver, message)
 
 
 def _encode(named: NamedLimit, now: timedelta) -> list[object]:
-    asked, heard = now - named.asked_at, now - named.heard_at
-    return [named.life, named.per_second, asked // MICROSECOND, heard // MICROSECOND]
+    asked_ago, heard_ago = now - named.asked_at, now - named.heard_at
+    return [
+        named.life,
+        named.per_second,
+        asked_ago // MICROSECOND,
+        heard_ago // MICROSECOND,
+    ]
 
 
 def _decode(row: list[Any], now: timedelta) -> NamedLimit:
--- a/packages/ashhoist/src/ashhoist/control/lookups.py
+++ b/packages/ashhoist/src/ashhoist/control/lookups.py
@@ -1,7 +1,8 @@
-"""Where an adapter is served, asked of a hub by instances that are told nothing.
+"""Lookups of the engines that serve an adapter.
 
-Knowing needs no authority: a hub answers whether or not there is a leader, so that
-requests for adapters that engines hold go on while there is none.
+Only hubs receive residency updates; all other instances ask a hub. A hub answers
+whether or not there is a leader, because a lookup needs no authority. Requests for
+adapters that are loaded therefore continue while there is no leader.
 """
 
 from collections.abc import Callable
@@ -14,18 +15,18 @@
 from .hubs import Hubs
 from .messages import Locate, Located
 
-MOST_OPEN = 1024
-"""Questions that are remembered; the oldest is forgotten first."""
+MAX_PENDING = 1024
+"""Pending lookups; beyond that the oldest is answered as not found."""
 
 
 class Lookups:
-    """The questions of this instance's requests, and answers to those of others.
+    """Resolves lookups of this instance's requests, and answers those of others.
 
     Parameters
     ----------
     own : str
         This instance's name.
-    tell : callable
+    send : callable
         Takes the name of an instance and a message for it.
     """
 
@@ -34,38 +35,38 @@
         own: str,
         residency: Residency,
         hubs: Hubs,
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
     ) -> None:
         self._own = own
         self._residency = residency
         self._hubs = hubs
-        self._tell = tell
-        self._numbers = 0
-        self._open: dict[int, Lookup] = {}
+        self._send = send
+        self._last_number = 0
+        self._pending: dict[int, Lookup] = {}
 
     def ask(self, lookup: Lookup) -> None:
-        """Answer a question of a request here, or ask a hub."""
+        """Resolve a lookup of a request here, or forward it to a hub."""
         hub = None if self._hubs.is_hub(self._own) else self._hubs.nearest()
         if hub is None:
             _answer(lookup, self._places(lookup.adapter))
             return
-        self._numbers += 1
-        self._open[self._numbers] = lookup
-        if len(self._open) > MOST_OPEN:
-            _answer(self._open.pop(next(iter(self._open))), ())
-        self._tell(
-            hub, Locate(self._numbers, lookup.adapter.model, lookup.adapter.name)
+        self._last_number += 1
+        self._pending[self._last_number] = lookup
+        if len(self._pending) > MAX_PENDING:
+            _answer(self._pending.pop(next(iter(self._pending))), ())
+        self._send(
+            hub, Locate(self._last_number, lookup.adapter.model, lookup.adapter.name)
         )
 
     def asked(self, instance: str, locate: Locate) -> None:
-        """Answer a question of another instance."""
+        """Answer a lookup of another instance."""
         places = self._places(Adapter(locate.model, locate.name))
         rows = [[place.upstream, place.version] for place in places]
-        self._tell(instance, Located(locate.number, rows))
+        self._send(instance, Located(locate.number, rows))
 
     def answered(self, located: Located) -> None:
-        """Take in a hub's answer."""
-        lookup = self._open.pop(located.number, None)
+        """Handle a hub's answer."""
+        lookup = self._pending.pop(located.number, None)
         if lookup is not None:
             _answer(lookup, tuple(Place(*row) for row in located.rows))
 
--- a/packages/ashhoist/src/ashhoist/control/order_desk.py
+++ b/packages/ashhoist/src/ashhoist/control/order_desk.py
@@ -1,5 +1,7 @@
-"""Where orders go: to the engine if this instance holds its zone's lease, else to
-the instance that does.
+"""Routes orders (commands to load or unload adapters) to engines.
+
+An order goes to the engine directly if this instance holds the lease of the engine's
+zone, and otherwise through the instance that does.
 """
 
 from dataclasses import replace
@@ -14,13 +16,13 @@
 from .peers import Peers
 
 
-class OrderDesk:
-    """Carries orders of this instance, and of others for engines of its zones.
+class OrderRouter:
+    """Sends this instance's orders, and forwards those of others to its zones' engines.
 
     Parameters
     ----------
     holder : str
-        This machine as orders name it.
+        Identifies this machine in orders.
     """
 
     def __init__(
@@ -40,7 +42,7 @@
         self._outside = outside
         self._clock = clock
         self._log = log
-        self._under_way = 0
+        self._in_progress = 0
 
     def reaches(self, zone: str) -> bool:
         """Return whether orders for a zone's engines can be sent now."""
@@ -53,23 +55,23 @@
         return peer is not None and peer.is_fresh(self._clock.monotonic())
 
     def may_send(self, order: Order) -> bool:
-        """Return whether an order's fence holds; asked right before it leaves."""
+        """Return whether an order's fence is valid; called right before it is sent."""
         return self._leases.fence(order.zone) == order.fence
 
     def send(self, order: Order) -> OrderAnswer | None:
-        """Send an order of this instance on its way.
+        """Send an order of this instance to the engine or to the lease holder.
 
         Returns
         -------
         OrderAnswer or None
-            `NOT_SENT` if it can't be sent; else the answer comes later.
+            `NOT_SENT` if it can't be sent; None if the answer arrives later.
         """
         holder = self._leases.holder(order.zone)
         if holder == self._own:
-            return self._order(replace(order, origin=self._own))
+            return self._send_to_engine(replace(order, origin=self._own))
         if holder is None:
             return OrderAnswer.NOT_SENT
-        carry = messages.Carry(
+        forwarded = messages.Carry(
             order.number,
             order.upstream,
             order.address,
@@ -80,25 +82,25 @@
             order.expected,
             order.version or 0,
         )
-        sent = self._outside.send_to(holder, carry)
+        sent = self._outside.send_to(holder, forwarded)
         return None if sent else OrderAnswer.NOT_SENT
 
-    def _order(self, order: Order) -> OrderAnswer | None:
+    def _send_to_engine(self, order: Order) -> OrderAnswer | None:
         fence = self._leases.fence(order.zone)
         if fence is None:
             return OrderAnswer.NOT_SENT
-        self._under_way += 1
+        self._in_progress += 1
         self._outside.order(replace(order, holder=self._holder, fence=fence))
         return None
 
     @property
-    def quiet(self) -> bool:
-        """Return whether no order of this machine is under way."""
-        return not self._under_way
+    def is_idle(self) -> bool:
+        """Return whether no order of this machine is in progress."""
+        return not self._in_progress
 
     def ended(self, order: Order, answer: OrderAnswer) -> None:
-        """Note that an order of this machine has been answered, or is lost."""
-        self._under_way -= 1
+        """Record that an order sent by this machine has been answered, or is lost."""
+        self._in_progress -= 1
         if answer not in (OrderAnswer.UNKNOWN, OrderAnswer.NOT_SENT):
             return
         self._log.warning(
@@ -113,7 +115,7 @@
         )
 
     def carry(self, peer: str, message: messages.Carry) -> None:
-        """Carry an order that another instance has decided on."""
+        """Forward an order of another instance to the engine."""
         order = Order(
             message.upstream,
             message.address,
@@ -125,11 +127,11 @@
             message.number,
             peer,
         )
-        answer = self._order(order)
+        answer = self._send_to_engine(order)
         if answer is not None:
             self.answered(order, answer)
 
     def answered(self, order: Order, answer: OrderAnswer) -> None:
-        """Tell the instance that decided on an order how it ended."""
-        carried = messages.Carried(order.number, order.upstream, answer)
-        self._outside.send_to(order.origin, carried)
+        """Send the outcome of a forwarded order to the instance that issued it."""
+        outcome = messages.Carried(order.number, order.upstream, answer)
+        self._outside.send_to(order.origin, outcome)
--- a/packages/ashhoist/src/ashhoist/control/order_leases.py
+++ b/packages/ashhoist/src/ashhoist/control/order_leases.py
@@ -1,8 +1,8 @@
-"""The leases on orders: one for the engines of each availability zone.
+"""The order leases: one for the engines of each availability zone.
 
-The holder of a zone's lease is the only machine that sends orders to the engines
-there. It is an instance of that zone where there is one, so that a zone that is
-cut off goes on with its own engines while the lease lasts.
+Only the holder of a zone's lease sends orders to the engines there. An instance of that
+zone is preferred as the holder, so that a partitioned zone continues to use its own
+engines until the lease expires.
 """
 
 import zlib
@@ -20,15 +20,15 @@
 from .peers import Peers, rank
 
 OTHER_ZONE_RANK = 10
-"""So many ranks later an instance of another zone claims a zone's lease."""
+"""Ranks by which an instance of another zone comes later in claiming a zone's lease."""
 PARTITIONS = 8
-LINKS_AWAITED = timedelta(seconds=1)
-"""So long an instance that has just started waits for a first link: whoever is
-linked knows the claims, and is asked in place of the log."""
+FIRST_LINK_TIMEOUT = timedelta(seconds=1)
+"""How long an instance that has just started waits for its first link before it reads
+the claims from the log: linked instances know the claims and supply them instead."""
 
 
 def partition_of(zone: str) -> int:
-    """Return the partition of the log that holds a zone's claims."""
+    """Return the log partition of a zone's claims."""
     return zlib.crc32(zone.encode()) % PARTITIONS
 
 
@@ -38,16 +38,16 @@
 
 
 class OrderLeases:
-    """All leases as one instance sees them, by zone.
+    """One instance's view of the leases of all zones.
 
     Parameters
     ----------
     holder : str
-        This machine as claims name it.
+        Identifies this machine in claims.
     life : str
-        This process.
+        Identifies this process.
     is_alone : callable
-        Returns whether there surely is no other instance.
+        Returns whether it is certain that there is no other instance.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         self._is_alone = is_alone
         self._clock = clock
         self._log = log
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
         self._leases: dict[str, Lease] = {}
         self._calls: dict[str, LeaseCalls] = {}
         self._held: set[str] = set()
         self._stopping = False
-        self._ranked_at = (-1, 0)
+        self._ranked_for = (-1, 0)
 
-    def follow(self, zones: set[str]) -> None:
-        """Take in in which zones there are engines."""
+    def track_zones(self, zones: set[str]) -> None:
+        """Track the leases of zones that have engines."""
         for zone in sorted(zones - set(self._leases)):
             lease = Lease(zone, self._holder, self._life, self._timing, self._clock)
             self._leases[zone] = lease
@@ -90,28 +90,28 @@
                 lease,
                 self._peers,
                 self._outside,
-                self._note_holding,
+                self._log_changes,
                 self._clock,
                 self._log,
             )
 
-    # What is known
+    # Current state
 
     def claims(self) -> list[Claim]:
-        """Return the newest claim of each zone, for a beat."""
+        """Return the newest known claim of each zone, to send with a heartbeat."""
         return [
             lease.claim for lease in self._leases.values() if lease.claim is not None
         ]
 
     def holder(self, zone: str) -> str | None:
-        """Return the instance that may order a zone's engines, if one is known."""
+        """Return the instance that may send orders to a zone's engines, if known."""
         lease = self._leases.get(zone)
         if lease is None or lease.claim is None or lease.claim.released:
             return None
         return machine_of(lease.claim)
 
     def fence(self, zone: str) -> int | None:
-        """Return the fencing token if this instance may order there now."""
+        """Return the fencing token if this instance may send orders there now."""
         lease = self._leases.get(zone)
         return None if lease is None else lease.fence()
 
@@ -120,79 +120,81 @@
         """Return the zones whose leases this instance holds."""
         return [zone for zone, lease in self._leases.items() if lease.held]
 
-    def heard(self, claim: Claim) -> None:
-        """Take in a claim that another instance knows of."""
-        self.follow({claim.key})
+    def claim_received(self, claim: Claim) -> None:
+        """Handle a claim that another instance has sent."""
+        self.track_zones({claim.key})
         self._leases[claim.key].heard(claim)
-        self._note_holding()
+        self._log_changes()
 
-    # Time and answers
+    # Store calls and engine answers
 
     def step(self) -> None:
         """Make the store calls that are due."""
-        if self._awaits_links():
+        if self._is_awaiting_links():
             return
         self._set_ranks()
         for calls in self._calls.values():
             calls.step()
-        self._note_holding()
+        self._log_changes()
 
-    def _awaits_links(self) -> bool:
-        young = self._clock.monotonic() - self._began < LINKS_AWAITED
-        return young and not self._peers.linked() and not self._is_alone()
+    def _is_awaiting_links(self) -> bool:
+        is_new = self._clock.monotonic() - self._started_at < FIRST_LINK_TIMEOUT
+        return is_new and not self._peers.linked() and not self._is_alone()
 
     def order_fenced(self, zone: str, token: int) -> None:
-        """Take in that an engine refused an order: it has seen a higher token."""
+        """Handle an engine's refusal of an order: it has seen a higher token."""
         lease = self._leases.get(zone)
         if lease is not None:
             self._log.info("lease token refused", zone=zone, token=token)
             lease.refused(token)
 
     def _set_ranks(self) -> None:
-        if self._ranked_at == (self._peers.revision, len(self._leases)):
+        if self._ranked_for == (self._peers.revision, len(self._leases)):
             return
-        self._ranked_at = (self._peers.revision, len(self._leases))
+        self._ranked_for = (self._peers.revision, len(self._leases))
         for zone, lease in self._leases.items():
             lease.set_rank(self._rank(zone))
 
     def _rank(self, zone: str) -> int:
-        """Return how many instances should claim a zone's lease before this one."""
+        """Return how many instances take precedence in claiming a zone's lease."""
         linked = [self._peers.by_name[name] for name in self._peers.linked()]
-        near = [peer.name for peer in linked if peer.zone == zone]
-        far = [peer.name for peer in linked if peer.zone != zone]
-        rivals, late = (near, 0) if self._own.zone == zone else (far, OTHER_ZONE_RANK)
-        own = self._order(zone, self._own.name)
-        return late + sum(self._order(zone, name) < own for name in rivals)
-
-    def _order(self, zone: str, name: str) -> tuple[bool, bytes]:
+        same_zone = [peer.name for peer in linked if peer.zone == zone]
+        other_zones = [peer.name for peer in linked if peer.zone != zone]
+        candidates, penalty = (
+            (same_zone, 0) if self._own.zone == zone else (other_zones, OTHER_ZONE_RANK)
+        )
+        own = self._claim_order(zone, self._own.name)
+        return penalty + sum(self._claim_order(zone, name) < own for name in candidates)
+
+    def _claim_order(self, zone: str, name: str) -> tuple[bool, bytes]:
         return (not self._hubs.is_hub(name), rank(zone, name))
 
-    def log_answers(self) -> None:
-        """Note that the log has answered this instance."""
+    def log_answered(self) -> None:
+        """Return to direct calls: the log has answered this instance."""
         for calls in self._calls.values():
-            calls.log_answers()
+            calls.log_answered()
 
     def read(self, zone: str, result: Newest | Unavailable) -> None:
-        """Take in the newest claims as this instance has read them."""
+        """Handle the newest claims, read by this instance."""
         self._calls[zone].read(result)
 
     def appended(self, action: AppendClaim, result: AppendResult) -> None:
-        """Take in how an append of this instance ended."""
+        """Handle the result of an append by this instance."""
         self._calls[action.claim.key].appended(action, result)
 
     def claims_read(self, peer: str, message: messages.ClaimsRead) -> None:
-        """Take in the newest claims that an instance has read for this one."""
+        """Handle the newest claims, read by another instance for this one."""
         calls = self._calls.get(message.zone)
         if calls is not None:
             calls.claims_read(peer, message)
 
     def claim_appended(self, peer: str, message: messages.ClaimAppended) -> None:
-        """Take in how an append that an instance has made for this one ended."""
+        """Handle the result of an append by another instance for this one."""
         calls = self._calls.get(message.zone)
         if calls is not None:
             calls.claim_appended(peer, message)
 
-    def _note_holding(self) -> None:
+    def _log_changes(self) -> None:
         held = set(self.held)
         for zone in sorted(held - self._held):
             claim = self._leases[zone].claim
@@ -210,13 +212,13 @@
 
     # Stopping
 
-    def rest(self) -> None:
-        """Permit no order any more, but keep the leases."""
+    def stop_orders(self) -> None:
+        """Stop permitting orders, but keep the leases."""
         for lease in self._leases.values():
             lease.rest()
 
     def stop(self) -> None:
-        """Release all leases and claim none any more."""
+        """Release all leases and stop claiming any."""
         self._stopping = True
         for lease in self._leases.values():
             lease.stop()
--- a/packages/ashhoist/src/ashhoist/control/permits.py
+++ b/packages/ashhoist/src/ashhoist/control/permits.py
@@ -1,8 +1,9 @@
-"""Permits for sends to upstreams that have named a limit: one place spends for all.
+"""Permits to send requests to rate-limited upstreams, granted centrally by the leader.
 
-The leader grants them, from the shares of each limit that were left to it (`rates`), so
-that two that lead at once never grant more than the whole. Nobody else sends to such an
-upstream: while nobody leads, for about a second, it gets nothing.
+The leader grants them from the shares of each limit that instances have delegated to it
+(see `rates`). Two concurrent leaders together therefore never exceed a limit. No
+request is sent to a limited upstream without a permit; while there is no leader, for
+about a second, such an upstream receives none.
 """
 
 import math
@@ -20,27 +21,29 @@
 MICROSECOND = timedelta(microseconds=1)
 MILLISECOND = timedelta(milliseconds=1)
 LEAST_RATE = 0.1
-"""Requests a second that go to an upstream whatever it names: only their answers tell
-that its limit has risen, or is gone."""
+"""Requests per second that are granted even under a lower limit: only their answers can
+show that the limit has been raised or removed."""
 BURST_TIME = timedelta(milliseconds=500)
-"""What a limit allows within so long may go at once."""
-LEAST_SHARE = 0.2
-"""A leader with less grants nothing: a request can't be dealt out in parts, and each of
-many that lead alone would send a whole one at once."""
-MOST_OPEN = 1024
-"""Questions that are remembered; the oldest is forgotten first."""
+"""A burst may contain as many requests as a limit allows within this time."""
+MIN_SHARE = 0.2
+"""A leader with a smaller share of the limits grants nothing. A request can't be
+divided, so each of many isolated leaders would otherwise send a whole one
+immediately."""
+MAX_PENDING = 1024
+"""Pending permit requests that are remembered; beyond that the oldest is dropped."""
 
 
 class Permits:
-    """Grants permits while this instance leads, else asks for them.
+    """Grants permits while this instance is the leader, and otherwise requests them.
 
     Parameters
     ----------
     instances : callable
-        Returns how many instances there are, this one included; 0 if not known.
+        Returns the number of instances, including this one; 0 if not known.
     leaves_since : callable
-        Takes an instance; returns since when the share here is left to it, or -1.
-    tell : callable
+        Takes an instance; returns since when, on that instance's clock, this instance
+        delegates its share to it, or -1.
+    send : callable
         Takes the name of an instance, this one included, and a message.
     """
 
@@ -51,7 +54,7 @@
         life_of: Callable[[str], str],
         instances: Callable[[], int],
         leaves_since: Callable[[str], int],
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -60,36 +63,36 @@
         self._life_of = life_of
         self._instances = instances
         self._leaves_since = leaves_since
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._metrics = metrics
         self._leader: str | None = None
         self._shares = Shares()
         self._bucket_by_life: dict[str, Bucket] = {}
-        self._open: dict[int, PermitWanted] = {}
-        self._numbers = 0
+        self._pending: dict[int, PermitWanted] = {}
+        self._last_number = 0
 
-    # Who grants
+    # Leader and shares
 
     def follow(self, leader: str | None) -> None:
-        """Take in who leads; that is who grants."""
+        """Set the leader, which grants permits; pending requests are refused."""
         if leader == self._leader:
             return
         self._leader = leader
         self._shares = Shares()
         self._bucket_by_life = {}
-        for wanted in self._open.values():
+        for wanted in self._pending.values():
             _settle(wanted, NOT_GRANTED)
-        self._open.clear()
+        self._pending.clear()
         self.limits_changed()
 
-    def heard(self, leader: str) -> None:
-        """Leave this instance's share to the leader, which has told a moment."""
+    def leader_heartbeat(self, leader: str) -> None:
+        """Delegate this instance's share to the leader after its heartbeat."""
         if self._limits.any_in_force:
-            self._tell(leader, LeaveShare(self._leaves_since(leader)))
+            self._send(leader, LeaveShare(self._leaves_since(leader)))
 
-    def left(self, peer: str, since: int) -> None:
-        """Take in that an instance leaves its share here."""
+    def share_delegated(self, peer: str, since: int) -> None:
+        """Record that an instance delegates its share to this one."""
         if self._grants and since != NOT_KNOWN:
             self._shares.left(peer, since * MICROSECOND)
 
@@ -100,7 +103,7 @@
     # Granting
 
     def limits_changed(self) -> None:
-        """Begin to count for upstreams that have named a limit."""
+        """Update the buckets to the upstreams that have a limit now."""
         if not self._grants:
             return
         known = {named.life for named in self._limits.all()}
@@ -114,49 +117,49 @@
                 self._bucket(named.life, named.per_second)
 
     def _bucket(self, life: str, per_second: float) -> Bucket:
-        """Return what a limit allows now, as far as it is granted from here."""
+        """Return the bucket of a limit, sized to the share granted by this instance."""
         now = self._clock.monotonic()
         share = self._share(now)
         rate = max(per_second, LEAST_RATE)
         burst = max(rate * BURST_TIME.total_seconds(), 1.0) * share
         bucket = self._bucket_by_life.get(life)
         if bucket is None:
-            # What was sent before is not known: it begins with nothing.
+            # It starts empty, because the number of earlier sends is not known.
             bucket = self._bucket_by_life[life] = Bucket(rate, burst, 0.0, now)
         bucket.resize(rate * share, burst, now)
         return bucket
 
     def _share(self, now: timedelta) -> float:
-        """Return which share of every limit is granted from here."""
+        """Return the share of each limit that this instance grants from."""
         instances = self._instances()
         if not instances:
             return 0.0
         share = self._shares.share(instances, now)
-        return share if share >= LEAST_SHARE else 0.0
+        return share if share >= MIN_SHARE else 0.0
 
-    def _of(self, upstream_id: str) -> Bucket | None:
+    def _bucket_of(self, upstream_id: str) -> Bucket | None:
         per_second = self._limits.of(upstream_id)
         if per_second is None:
             return None
         return self._bucket(self._life_of(upstream_id), per_second)
 
     def limited(self, upstream_id: str) -> bool:
-        """Return whether an upstream takes only so many requests a second."""
+        """Return whether an upstream has a rate limit."""
         return self._limits.of(upstream_id) is not None
 
     def wait(self, upstream_id: str, ahead: int = 0) -> timedelta:
-        """Return when one request can be sent there behind `ahead` others."""
-        bucket = self._of(upstream_id)
+        """Return how long until a request can be sent, after `ahead` others."""
+        bucket = self._bucket_of(upstream_id)
         if bucket is None:
             return timedelta()
         if not bucket.rate:
             return NOT_GRANTED.wait
-        own = bucket.wait(1.0, self._clock.monotonic()) or timedelta()
-        return own + timedelta(seconds=ahead / bucket.rate)
+        wait = bucket.wait(1.0, self._clock.monotonic()) or timedelta()
+        return wait + timedelta(seconds=ahead / bucket.rate)
 
     def take(self, upstream_id: str) -> bool:
-        """Take one send; return False if it can't be sent yet."""
-        bucket = self._of(upstream_id)
+        """Consume one permit; return False if none is available yet."""
+        bucket = self._bucket_of(upstream_id)
         if bucket is None:
             return True
         granted = bool(bucket.rate) and bucket.take(1.0, self._clock.monotonic())
@@ -164,38 +167,38 @@
         return granted
 
     def asked(self, instance: str, message: AskPermit) -> None:
-        """Grant another instance a send, or say when to ask again."""
+        """Grant another instance a permit, or tell it when to ask again."""
         granted = self._grants and self.take(message.upstream)
         wait_ms = 0 if granted else self._wait_ms(message.upstream)
-        self._tell(instance, PermitAnswered(message.number, granted, wait_ms))
+        self._send(instance, PermitAnswered(message.number, granted, wait_ms))
 
     def _wait_ms(self, upstream_id: str) -> int:
-        """Return when to ask again; at least a millisecond from now."""
+        """Return after how many milliseconds to ask again; at least 1."""
         wait = self.wait(upstream_id) if self._grants else NOT_GRANTED.wait
         return max(math.ceil(wait / MILLISECOND), 1)
 
-    # Asking
+    # Requesting
 
     def ask(self, wanted: PermitWanted) -> None:
-        """Ask the leader for one send."""
+        """Request a permit for one send from the leader."""
         if self._leader is None:
             _settle(wanted, NOT_GRANTED)
             return
-        self._numbers += 1
-        self._open[self._numbers] = wanted
-        if len(self._open) > MOST_OPEN:
-            del self._open[next(iter(self._open))]
-        self._tell(self._leader, AskPermit(self._numbers, wanted.upstream_id))
+        self._last_number += 1
+        self._pending[self._last_number] = wanted
+        if len(self._pending) > MAX_PENDING:
+            del self._pending[next(iter(self._pending))]
+        self._send(self._leader, AskPermit(self._last_number, wanted.upstream_id))
 
     def answered(self, message: PermitAnswered) -> None:
-        """Take in the leader's answer; a permit that nobody waits for is lost."""
-        wanted = self._open.pop(message.number, None)
+        """Handle the leader's answer; a permit that is no longer waited for is lost."""
+        wanted = self._pending.pop(message.number, None)
         if wanted is not None:
             wait = message.wait_ms * MILLISECOND
             _settle(wanted, Permit(message.granted, wait))
 
 
 def _settle(wanted: PermitWanted, permit: Permit) -> None:
-    """Answer a request, if it still waits."""
+    """Answer a permit request, unless it has been cancelled."""
     if wanted.answer.set_running_or_notify_cancel():
         wanted.answer.set_result(permit)
--- a/packages/ashhoist/src/ashhoist/control/quotas.py
+++ b/packages/ashhoist/src/ashhoist/control/quotas.py
@@ -1,6 +1,6 @@
-"""Tokens for customers' requests: what this instance spends, and grants as the leader.
+"""Quota tokens for customers' requests: spent at each instance, granted by the leader.
 
-See `rates.shares` for why what is granted never adds up to more than the whole.
+See `rates.shares` for why grants never add up to more than the quota.
 """
 
 from collections.abc import Callable
@@ -21,26 +21,30 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 MICROSECOND = timedelta(microseconds=1)
-SILENT_AFTER = timedelta(milliseconds=60)
-"""A question that is open for so long says that the leader does not answer now: many
-round trips between zones, and little beside the aim of a request."""
-MOST_OPEN = 1024
-"""Questions that are remembered; the oldest is forgotten first."""
+LEADER_TIMEOUT = timedelta(milliseconds=60)
+"""Age of the oldest pending draw from which the leader counts as not responding: many
+round trips between zones, and little compared with the target latency of a request."""
+MAX_PENDING = 1024
+"""Pending draws that are remembered; beyond that the oldest is dropped."""
 NOT_KNOWN = -1
-STANDING_KNOWN_FOR = LEFT_FOR + timedelta(milliseconds=600)
-"""What a leader has said of customers counts until another one leads."""
-WITHOUT_HISTORY = timedelta(seconds=3)
-"""So long a new leader passes on who the one before it said was close to a limit: its
-own buckets begin with some tokens, whoever has spent before."""
-LONGEST_WAIT = timedelta(seconds=60)
-"""What a caller is told at most, also where a quota lets nothing through."""
-LOGGED_EVERY = timedelta(seconds=1)
-"""That a customer's quota is used up; each refused request has a line of its own."""
+TIGHT_VALID_FOR = LEFT_FOR + timedelta(milliseconds=600)
+"""How long a leader's list of customers close to their limit stays valid: long enough
+for another leader to take over."""
+WARM_UP = timedelta(seconds=3)
+"""How long a new leader keeps reporting the customers that its predecessor reported as
+close to their limit. Its own buckets start with some tokens, whatever was spent
+before."""
+MAX_WAIT = timedelta(seconds=60)
+"""Upper bound of the wait sent to callers, also if a quota allows no requests at
+all."""
+LOG_INTERVAL = timedelta(seconds=1)
+"""Minimum interval, per customer, between log lines that report a used-up quota. Each
+refused request has its own log line anyway."""
 
 
 @dataclass(slots=True)
-class _Open:
-    """A question to the leader, and the request that waits for it."""
+class _PendingDraw:
+    """A draw sent to the leader, and the charge that waits for the answer."""
 
     charge: Charge
     asked_at: timedelta
@@ -52,8 +56,8 @@
     Parameters
     ----------
     knows_others : callable
-        Returns whether this instance has read which others there are.
-    tell : callable
+        Returns whether this instance has read the register of instances.
+    send : callable
         Takes the name of an instance, this one included, and a message.
     """
 
@@ -64,7 +68,7 @@
         in_force: InForce,
         peers: Peers,
         knows_others: Callable[[], bool],
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
         clock: Clock,
         metrics: Metrics,
         log: Logger,
@@ -74,7 +78,7 @@
         self._in_force = in_force
         self._peers = peers
         self._knows_others = knows_others
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._metrics = metrics
         self._log = log
@@ -82,25 +86,25 @@
         self._granter: Granter | None = None
         self._granting_since = ZERO
         self._leader: str | None = None
-        self._open: dict[int, _Open] = {}
-        self._numbers = 0
-        self._left_to: str | None = None
-        self._left_until = ZERO
-        self._heard: dict[str, tuple[int, timedelta]] = {}
+        self._pending: dict[int, _PendingDraw] = {}
+        self._last_number = 0
+        self._delegated_to: str | None = None
+        self._delegated_until = ZERO
+        self._heartbeat_by_peer: dict[str, tuple[int, timedelta]] = {}
         self._tight: frozenset[str] = frozenset()
-        self._tight_at = -STANDING_KNOWN_FOR
-        self._has_news = False
+        self._tight_at = -TIGHT_VALID_FOR
+        self._has_new_tight = False
         self._logged_at: dict[str, timedelta] = {}
 
-    # Who grants
+    # Leader and shares
 
     def follow(self, leader: str | None) -> None:
-        """Take in who leads; that is who grants tokens."""
+        """Set the leader, which grants tokens."""
         if leader == self._leader:
             return
         self._leader = leader
         self._allowances.forget_granted()
-        self._open.clear()
+        self._pending.clear()
         self._granter = None
         if leader == self._own:
             self._granter = Granter(self._own, self._bounds)
@@ -108,107 +112,110 @@
 
     @property
     def instances(self) -> int:
-        """Return how many instances there are; 0 while that is not known.
+        """Return the number of instances; 0 if not known.
 
-        One that has just started, and has neither read the register nor met another,
-        would else take every quota for its own.
+        An instance that has just started, and has neither read the register nor linked
+        to another, would otherwise claim the whole of every quota.
         """
         others = len(self._peers.by_name)
         return others + 1 if others or self._knows_others() else 0
 
     def beaten(self, peer: str, beat: Beat) -> None:
-        """Take in a moment of another instance."""
+        """Record the time and the tight customers that a heartbeat carries."""
         now = self._clock.monotonic()
-        self._heard[peer] = (beat.sent_at, now)
+        self._heartbeat_by_peer[peer] = (beat.sent_at, now)
         if peer == self._leader and beat.leads:
             self._tight = frozenset(beat.tight)
             self._tight_at = now
-        if peer == self._left_to and not beat.leads:
-            # It grants no more, and has said so itself.
-            self._left_to, self._left_until = None, ZERO
+        if peer == self._delegated_to and not beat.leads:
+            # It has announced itself that it no longer grants.
+            self._delegated_to, self._delegated_until = None, ZERO
 
     def forget(self, peer: str) -> None:
-        """Forget an instance that is no longer linked."""
-        self._heard.pop(peer, None)
+        """Forget the heartbeat time of an instance that is no longer linked."""
+        self._heartbeat_by_peer.pop(peer, None)
 
-    def take_news(self) -> bool:
-        """Return, once, whether all should be told of one more that is at its limit.
+    def take_tight_changed(self) -> bool:
+        """Return, once, whether a further customer at its limit has to be announced.
 
-        The next beat would come half a second later; a leader that is lost before it
-        would leave others in the belief that the customer is far below.
+        The regular heartbeat may be half a second away. If the leader were lost before,
+        the other instances would still treat the customer as far below its limit.
         """
-        has_news, self._has_news = self._has_news, False
-        return has_news
+        has_new, self._has_new_tight = self._has_new_tight, False
+        return has_new
 
     def tight(self) -> list[str]:
-        """Return the customers that are close to their limit, as this leader knows."""
+        """Return the customers close to their limit; empty if not the leader."""
         now = self._clock.monotonic()
         if self._granter is None:
             return []
         if not self._is_alone(now):
             found = frozenset(self._granter.tight(now))
-            is_new = now - self._granting_since < WITHOUT_HISTORY
-            self._tight = found | self._tight if is_new else found
+            is_warming_up = now - self._granting_since < WARM_UP
+            self._tight = found | self._tight if is_warming_up else found
             self._tight_at = now
         return list(self._tight)
 
     def leaves_since(self, peer: str) -> int:
-        """Return since which moment of the leader this share is left to it, or -1."""
+        """Return since when this instance delegates its share to the leader, or -1.
+
+        The time is on the leader's clock, as its latest heartbeat carried it.
+        """
         now = self._clock.monotonic()
-        heard = self._heard.get(peer)
-        if peer != self._leader or heard is None:
+        heartbeat = self._heartbeat_by_peer.get(peer)
+        if peer != self._leader or heartbeat is None:
             return NOT_KNOWN
-        if self._left_to != peer and now < self._left_until:
+        if self._delegated_to != peer and now < self._delegated_until:
             return NOT_KNOWN
-        moment, heard_at = heard
-        self._left_to = peer
-        self._left_until = max(self._left_until, heard_at + LEFT_FOR)
-        return moment
+        leader_time, heard_at = heartbeat
+        self._delegated_to = peer
+        self._delegated_until = max(self._delegated_until, heard_at + LEFT_FOR)
+        return leader_time
 
-    def left(self, peer: str, since: int) -> None:
-        """Take in that an instance leaves its share here."""
+    def share_delegated(self, peer: str, since: int) -> None:
+        """Record that an instance delegates its share to this one."""
         if self._granter is not None and since != NOT_KNOWN:
             self._granter.left(peer, since * MICROSECOND)
 
     # Spending
 
     def charge(self, charge: Charge) -> None:
-        """Charge a request; ask the leader if too little was granted for it."""
+        """Charge a request; draw tokens from the leader if too few are left here."""
         now = self._clock.monotonic()
         if self._allowances.spend(charge.customer, charge.tokens, now):
             charge.settle(Charged(True))
             return
-        if self._leader is None or self._is_silent(now) or self._is_alone(now):
-            self._charge_alone(charge)
+        if self._leader is None or self._is_leader_silent(now) or self._is_alone(now):
+            self._charge_locally(charge)
         self._draw(charge, now)
 
     def _is_alone(self, now: timedelta) -> bool:
-        """Return whether this instance leads, but nobody else follows it."""
+        """Return whether this instance leads without a delegated share of any other."""
         return self._granter is not None and self._granter.is_alone(self.instances, now)
 
-    def _is_silent(self, now: timedelta) -> bool:
-        oldest = next(iter(self._open.values()), None)
-        return oldest is not None and now - oldest.asked_at > SILENT_AFTER
+    def _is_leader_silent(self, now: timedelta) -> bool:
+        oldest = next(iter(self._pending.values()), None)
+        return oldest is not None and now - oldest.asked_at > LEADER_TIMEOUT
 
     def _draw(self, charge: Charge, now: timedelta) -> None:
         if self._leader is None:
             return
-        self._numbers += 1
-        self._open[self._numbers] = _Open(charge, now)
-        if len(self._open) > MOST_OPEN:
-            del self._open[next(iter(self._open))]
+        self._last_number += 1
+        self._pending[self._last_number] = _PendingDraw(charge, now)
+        if len(self._pending) > MAX_PENDING:
+            del self._pending[next(iter(self._pending))]
         extra = self._allowances.ahead(charge.customer, now)
-        message = DrawTokens(self._numbers, charge.customer, charge.tokens, extra)
-        self._tell(self._leader, message)
+        message = DrawTokens(self._last_number, charge.customer, charge.tokens, extra)
+        self._send(self._leader, message)
 
     def drawn(self, drawn: TokensDrawn) -> None:
-        """Take in the leader's answer."""
-        open_ = self._open.pop(drawn.number, None)
-        if open_ is None:
+        """Handle the leader's answer to a draw."""
+        pending = self._pending.pop(drawn.number, None)
+        if pending is None:
             return
-        self._forget_older(drawn.number)
+        self._charge_older_locally(drawn.number)
         now = self._clock.monotonic()
-        charge = open_.charge
+        charge = pending.charge
         if drawn.tokens > 0:
             use = Use(drawn.used, drawn.spare)
             self._allowances.granted(charge.customer, drawn.tokens, use, now)
@@ -217,28 +224,28 @@
             self._allowances.spend(charge.customer, charge.tokens, now)
             charge.settle(Charged(True))
             return
-        if drawn.wait_ms == NOT_KNOWN or not self._grants_my_share:
-            self._charge_alone(charge)
+        if drawn.wait_ms == NOT_KNOWN or not self._leader_has_own_share:
+            self._charge_locally(charge)
             return
         charge.settle(Charged(False, True, drawn.wait_ms * MILLISECOND))
 
     @property
-    def _grants_my_share(self) -> bool:
-        """Return whether the leader grants from this instance's share too."""
-        return self._granter is not None or self._left_to == self._leader
+    def _leader_has_own_share(self) -> bool:
+        """Return whether the leader grants from this instance's share as well."""
+        return self._granter is not None or self._delegated_to == self._leader
 
-    def _forget_older(self, number: int) -> None:
-        """Forget questions before one that was answered: theirs were lost."""
-        for older in list(self._open):
+    def _charge_older_locally(self, number: int) -> None:
+        """Charge draws before an answered one locally: their answers were lost."""
+        for older in list(self._pending):
             if older >= number:
                 return
-            self._charge_alone(self._open.pop(older).charge)
+            self._charge_locally(self._pending.pop(older).charge)
 
-    def unanswered(self, message: ChargeUnanswered) -> None:
-        """Charge a request that can wait for the leader no longer."""
-        self._charge_alone(message.charge)
+    def charge_timed_out(self, message: ChargeUnanswered) -> None:
+        """Charge a request locally: it can't wait for the leader any longer."""
+        self._charge_locally(message.charge)
 
-    def _charge_alone(self, charge: Charge) -> None:
+    def _charge_locally(self, charge: Charge) -> None:
         if charge.settled:
             return
         now = self._clock.monotonic()
@@ -261,27 +268,27 @@
         charge.settle(Charged(wait is None, False, wait))
 
     def _standing(self, customer: str) -> Standing:
-        if self._clock.monotonic() - self._tight_at >= STANDING_KNOWN_FOR:
+        if self._clock.monotonic() - self._tight_at >= TIGHT_VALID_FOR:
             return Standing.UNKNOWN
         return Standing.TIGHT if customer in self._tight else Standing.BELOW
 
-    def unused(self, message: TokensUnused) -> None:
-        """Take back what a request was charged that has not run."""
+    def refund(self, message: TokensUnused) -> None:
+        """Refund the tokens of a charged request that has not run."""
         now = self._clock.monotonic()
         self._allowances.put_back(message.customer, message.tokens, now)
 
-    def return_left_over(self) -> None:
-        """Give back what was granted and is not needed here."""
+    def return_unused_tokens(self) -> None:
+        """Return granted tokens that this instance has not needed to the leader."""
         found = self._allowances.left_over(self._clock.monotonic())
         if found and self._leader is not None:
             rows = [[customer, tokens] for customer, tokens in found.items()]
-            self._tell(self._leader, ReturnTokens(rows))
+            self._send(self._leader, ReturnTokens(rows))
 
     # Granting
 
     def asked(self, instance: str, draw: DrawTokens) -> None:
-        """Grant tokens to an instance, as far as there are any here."""
-        self._tell(instance, self._grant(draw))
+        """Answer an instance's draw with a grant, or with the time to wait."""
+        self._send(instance, self._grant(draw))
 
     def _grant(self, draw: DrawTokens) -> TokensDrawn:
         customer = self._customer(draw.customer)
@@ -303,8 +310,8 @@
         if grant.tokens:
             use = grant.use
             return TokensDrawn(draw.number, grant.tokens, 0, use.rate, use.spare)
-        self._has_news = self._has_news or customer.name not in self._tight
-        wait = int((grant.wait or LONGEST_WAIT) / MILLISECOND)
+        self._has_new_tight = self._has_new_tight or customer.name not in self._tight
+        wait = int((grant.wait or MAX_WAIT) / MILLISECOND)
         self._log_used_up(customer.name, draw.needed, wait, now)
         return TokensDrawn(draw.number, 0.0, wait, 0.0, 0.0)
 
@@ -312,7 +319,7 @@
         self, customer: str, needed: float, wait_ms: int, now: timedelta
     ) -> None:
         logged_at = self._logged_at.get(customer)
-        if logged_at is not None and now - logged_at < LOGGED_EVERY:
+        if logged_at is not None and now - logged_at < LOG_INTERVAL:
             return
         self._logged_at[customer] = now
         assert self._granter is not None
@@ -326,7 +333,7 @@
         )
 
     def returned(self, message: ReturnTokens) -> None:
-        """Take back what an instance has not spent."""
+        """Handle tokens that an instance returns unspent."""
         if self._granter is None:
             return
         now = self._clock.monotonic()
--- a/packages/ashhoist/src/ashhoist/control/release.py
+++ b/packages/ashhoist/src/ashhoist/control/release.py
@@ -1,42 +1,43 @@
-"""Hands the leases over in a planned stop."""
+"""Releases the order leases during a planned stop."""
 
 from datetime import timedelta
 
 from ..clock import Clock
-from .order_desk import OrderDesk
+from .order_desk import OrderRouter
 from .order_leases import OrderLeases
 
-LAST_ORDERS = timedelta(milliseconds=600)
+LAST_ORDERS_TIMEOUT = timedelta(milliseconds=600)
 """How long a planned stop waits for answers to its last orders."""
 
 
-class Release:
-    """Keeps the leases until no order of this instance is under way.
+class LeaseHandover:
+    """Releases the leases once no order of this instance is in progress.
 
-    Else a successor might order while an order of this instance is on its way.
+    If they were released earlier, the next holder could send orders while an order of
+    this instance is still in transit.
     """
 
-    def __init__(self, desk: OrderDesk, leases: OrderLeases, clock: Clock) -> None:
+    def __init__(self, desk: OrderRouter, leases: OrderLeases, clock: Clock) -> None:
         self._desk = desk
         self._leases = leases
         self._clock = clock
-        self._due_at: timedelta | None = None
+        self._deadline: timedelta | None = None
 
     @property
     def pending(self) -> bool:
-        """Return whether the leases are still kept."""
-        return self._due_at is not None
+        """Return whether the leases are yet to be released."""
+        return self._deadline is not None
 
     def begin(self) -> None:
-        """Order nothing any more."""
-        self._leases.rest()
-        self._due_at = self._clock.monotonic() + LAST_ORDERS
+        """Stop sending orders, and start the wait for the last answers."""
+        self._leases.stop_orders()
+        self._deadline = self._clock.monotonic() + LAST_ORDERS_TIMEOUT
 
     def step(self) -> None:
-        """Hand the leases over once this may be."""
-        if self._due_at is None:
+        """Release the leases if no order is in progress, or the wait has timed out."""
+        if self._deadline is None:
             return
-        if not self._desk.quiet and self._clock.monotonic() < self._due_at:
+        if not self._desk.is_idle and self._clock.monotonic() < self._deadline:
             return
-        self._due_at = None
+        self._deadline = None
         self._leases.stop()
--- a/packages/ashhoist/src/ashhoist/control/residency_feed.py
+++ b/packages/ashhoist/src/ashhoist/control/residency_feed.py
@@ -1,8 +1,8 @@
-"""Tells the hubs what engines serve: all of it once, and then what changes.
+"""Sends the hubs which adapters engines serve: a full snapshot first, then changes.
 
-Hubs need it to lead at once where the leader is lost, and to answer instances that
-have no leader. Others ask a hub when they need it. So what is told grows with the
-loads, and not with loads times instances.
+Hubs need this to take over immediately when the leader is lost, and to answer instances
+that have no leader. Other instances ask a hub when needed. The number of messages
+therefore grows with the number of loads, not with loads times instances.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,81 +11,83 @@
 from ..adapter import Adapter
 from .messages import Holds, HoldsChanged
 
-Held = dict[Adapter, int]
+AdapterVersions = dict[Adapter, int]
 
 
 class ResidencyFeed:
-    """What the leader tells of its engines, and to whom.
+    """Tracks what the leader has sent about engines, and which instances received it.
 
     Parameters
     ----------
     receivers : callable
-        Returns the names of the instances that should know now.
-    tell : callable
+        Returns the names of the instances that should be kept up to date.
+    send : callable
         Takes the name of an instance and a message for it.
     """
 
     def __init__(
         self,
         receivers: Callable[[], Iterable[str]],
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
     ) -> None:
         self._receivers = receivers
-        self._tell = tell
-        self._told: dict[str, Held] = {}
-        self._informed: set[str] = set()
+        self._send = send
+        self._sent: dict[str, AdapterVersions] = {}
+        self._up_to_date: set[str] = set()
 
     def restart(self) -> None:
-        """Tell all anew: what was told belongs to an older epoch."""
-        self._informed.clear()
+        """Let the next `tell` send all snapshots again, for a new epoch."""
+        self._up_to_date.clear()
 
     def forget_receiver(self, instance: str) -> None:
-        """Take in that an instance may have missed what it was told."""
-        self._informed.discard(instance)
+        """Let `tell` send an instance all snapshots: it may have missed messages."""
+        self._up_to_date.discard(instance)
 
     def keep(self, upstreams: Iterable[str]) -> None:
         """Forget all engines but these."""
         present = set(upstreams)
-        self._told = {
-            name: held for name, held in self._told.items() if name in present
+        self._sent = {
+            name: held for name, held in self._sent.items() if name in present
         }
 
-    def tell(self, epoch: int, changed: dict[str, Held]) -> None:
-        """Tell what has changed since the last time.
+    def tell(self, epoch: int, changed: dict[str, AdapterVersions]) -> None:
+        """Send the changes since the last call.
 
         Parameters
         ----------
         epoch : int
-            The leader's.
+            The leader's epoch.
         changed : dict
-            By upstream, all adapters that it serves now, with their versions.
+            All adapters that each changed upstream serves now, with their versions.
         """
         rows = [
-            [upstream, *_difference(self._told.get(upstream, {}), held)]
+            [upstream, *_difference(self._sent.get(upstream, {}), held)]
             for upstream, held in changed.items()
         ]
         rows = [row for row in rows if row[1] or row[2]]
-        self._told.update(changed)
+        self._sent.update(changed)
         receivers = set(self._receivers())
         if rows:
-            news = HoldsChanged(epoch, rows)
-            for instance in sorted(receivers & self._informed):
-                self._tell(instance, news)
-        for instance in sorted(receivers - self._informed):
-            self._tell_all_to(instance, epoch)
-        self._informed = receivers
+            message = HoldsChanged(epoch, rows)
+            for instance in sorted(receivers & self._up_to_date):
+                self._send(instance, message)
+        for instance in sorted(receivers - self._up_to_date):
+            self._send_snapshot(instance, epoch)
+        self._up_to_date = receivers
 
-    def _tell_all_to(self, instance: str, epoch: int) -> None:
-        for upstream, held in self._told.items():
-            self._tell(instance, Holds(epoch, upstream, _rows(held)))
+    def _send_snapshot(self, instance: str, epoch: int) -> None:
+        for upstream, held in self._sent.items():
+            self._send(instance, Holds(epoch, upstream, _rows(held)))
 
 
-def _difference(before: Held, now: Held) -> tuple[list[object], list[object]]:
-    """Return rows of what is served anew, and rows of what is served no more."""
-    fresh = {key: version for key, version in now.items() if before.get(key) != version}
-    gone: list[object] = [[key.model, key.name] for key in before if key not in now]
-    return _rows(fresh), gone
+def _difference(
+    before: AdapterVersions, now: AdapterVersions
+) -> tuple[list[object], list[object]]:
+    """Return rows of added or updated adapters, and rows of removed ones."""
+    added = {key: version for key, version in now.items() if before.get(key) != version}
+    removed: list[object] = [[key.model, key.name] for key in before if key not in now]
+    return _rows(added), removed
 
 
-def _rows(held: Held) -> list[object]:
+def _rows(held: AdapterVersions) -> list[object]:
     return [[key.model, key.name, version] for key, version in held.items()]
--- a/packages/ashhoist/src/ashhoist/control/returns.py
+++ b/packages/ashhoist/src/ashhoist/control/returns.py
@@ -1,8 +1,8 @@
 """Upstreams that a restored log lists again after their records had ended.
 
-Such a record may be a copy from before the end. It is held back until the upstream
-writes a newer one, or until the log has listed it for longer than a record without
-renewals lasts.
+Such a record may be a copy from a backup that predates the end. It is held back until
+the upstream writes a newer record, or until the log has listed it for longer than a
+record lasts without renewal.
 """
 
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 from ..upstreams import Upstream
 
 HOLD_BACK_FOR = timedelta(seconds=6)
-"""Exceeds both the time until a record without renewals lapses, and the greatest age of
-the last read of the log."""
-REMEMBER_ENDED = timedelta(minutes=2)
+"""Exceeds both the time after which a record without renewal lapses and the maximum age
+of the last read of the log."""
+ENDED_RETENTION = timedelta(minutes=2)
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +25,9 @@
     Parameters
     ----------
     born : int
-        Of the life that ended; see `Upstream.born`.
+        Start time of the incarnation that ended; see `Upstream.born`.
     noted_at : timedelta
-        When the end was last taken in here.
+        When the end was last recorded here.
     """
 
     offset: Position
@@ -36,7 +36,7 @@
 
 
 class ReturnedUpstreams:
-    """Known ends of records, and later-era records held back as possible copies."""
+    """Known ends of records, and held-back records of later eras that may be copies."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -44,7 +44,7 @@
         self._held_by_id: dict[str, tuple[Record, timedelta]] = {}
 
     def note_end(self, upstream_id: str, offset: Position, born: int | None) -> bool:
-        """Take in that an upstream's record has ended.
+        """Record that an upstream's record has ended.
 
         Parameters
         ----------
@@ -54,7 +54,7 @@
         Returns
         -------
         bool
-            Whether a record of the upstream was held back, and is now dropped.
+            Whether a held-back record of the upstream was dropped.
         """
         before = self._ended_by_id.pop(upstream_id, None)
         if born is None:
@@ -64,14 +64,14 @@
         was_held_back = self._held_by_id.pop(upstream_id, None) is not None
         now = self._clock.monotonic()
         self._ended_by_id[upstream_id] = _End(offset, born, now)
-        self._forget_ended(now)
+        self._evict_ended(now)
         return was_held_back
 
-    def _forget_ended(self, now: timedelta) -> None:
-        """Forget old ends; the oldest come first."""
+    def _evict_ended(self, now: timedelta) -> None:
+        """Remove ends older than `ENDED_RETENTION`; entries are ordered by age."""
         while self._ended_by_id:
             oldest, end = next(iter(self._ended_by_id.items()))
-            if now - end.noted_at <= REMEMBER_ENDED:
+            if now - end.noted_at <= ENDED_RETENTION:
                 return
             del self._ended_by_id[oldest]
 
@@ -81,7 +81,7 @@
         Returns
         -------
         bool
-            Whether the record is held back; `due` returns it later.
+            Whether the record is held back; `due` returns it when the time is over.
         """
         ended = self._ended_by_id.get(upstream.id)
         if ended is None:
@@ -107,7 +107,8 @@
     def due(self) -> list[Record]:
         """Remove and return the records that were held back for `HOLD_BACK_FOR`.
 
-        Call this only while the log is read: otherwise a later end may not be known.
+        Call this only while the log is being read; otherwise a more recent end may be
+        unknown.
         """
         now = self._clock.monotonic()
         found = [record for record, until in self._held_by_id.values() if now >= until]
--- a/packages/ashhoist/src/ashhoist/control/scheduling.py
+++ b/packages/ashhoist/src/ashhoist/control/scheduling.py
@@ -1,4 +1,4 @@
-"""What this instance does while it is the leader."""
+"""Scheduling of adapter loads and requests by the leader."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -30,24 +30,25 @@
 from .residency_feed import ResidencyFeed
 
 MILLISECOND = timedelta(milliseconds=1)
-TELL_EVERY = timedelta(seconds=2)
-HOLDS_EVERY = timedelta(milliseconds=250)
-"""How often hubs are told what engines serve; they need it if the leader is lost."""
+STATE_LOG_INTERVAL = timedelta(seconds=2)
+"""How often the state of engines and waiting requests is logged."""
+RESIDENCY_INTERVAL = timedelta(milliseconds=250)
+"""How often hubs are sent what engines serve; they need it if the leader is lost."""
 
 
 class Scheduling:
-    """The scheduler, while this instance leads, and its talk with the others.
+    """Runs the scheduler while this instance leads, and exchanges messages for it.
 
     Parameters
     ----------
     may_order : callable
         Takes a zone; returns whether orders reach its engines now.
     order : callable
-        Sends an order on its way.
-    tell : callable
+        Sends an order.
+    send : callable
         Takes the name of an instance, this one included, and a message.
     linked_hubs : callable
-        Returns the names of the hubs that there are links to.
+        Returns the names of the linked hubs.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         permits: EnginePermits,
         residency: Residency,
         outside: Outside,
-        tell: Callable[[str, Any], None],
+        send: Callable[[str, Any], None],
         linked_hubs: Callable[[], list[str]],
         clock: Clock,
         metrics: Metrics,
@@ -70,38 +71,38 @@
         self._permits = permits
         self._residency = residency
         self._outside = outside
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._metrics = metrics
         self._log = log
         self.scheduler: Scheduler | None = None
         self.epoch = 0
-        self._told_at = ZERO
+        self._state_logged_at = ZERO
         self._linked_hubs = linked_hubs
-        self._feed = ResidencyFeed(linked_hubs, tell)
-        self._changed: dict[str, dict[Adapter, int]] = {}
-        self._holds_told_at = ZERO
+        self._residency_feed = ResidencyFeed(linked_hubs, send)
+        self._changed_residency: dict[str, dict[Adapter, int]] = {}
+        self._residency_sent_at = ZERO
 
     @property
     def leads(self) -> bool:
-        """Return whether this instance schedules now."""
+        """Return whether this instance is the scheduling leader."""
         return self.scheduler is not None
 
     @property
     def ordering(self) -> bool:
-        """Return whether an order of this instance is under way."""
+        """Return whether an order of this instance is in progress."""
         return self.scheduler is not None and self.scheduler.ordering
 
-    # Beginning and ending
+    # Start and end
 
     def begin(self, configuration: ServingConfiguration | None) -> None:
-        """Begin to schedule, in an epoch of its own."""
+        """Start scheduling, in a new epoch."""
         self.epoch += 1
-        self._changed = {}
-        self._feed = ResidencyFeed(self._linked_hubs, self._tell)
+        self._changed_residency = {}
+        self._residency_feed = ResidencyFeed(self._linked_hubs, self._send)
         self.scheduler = Scheduler(
             self._may_order,
-            self._act,
+            self._carry_out,
             self._permits,
             self._residency,
             self._clock,
@@ -112,38 +113,38 @@
         self.set_upstreams(configuration)
 
     def end(self) -> None:
-        """Schedule no more."""
+        """Stop scheduling."""
         if self.scheduler is not None:
             self._log.info("scheduling ends", epoch=self.epoch)
             self.scheduler = None
 
-    def heard(self, epoch: int) -> None:
-        """Take in another instance's epoch; this one's is then a newer one."""
+    def epoch_received(self, epoch: int) -> None:
+        """Handle another instance's epoch; a leader moves on to a newer one."""
         if epoch <= self.epoch:
             return
         self.epoch = epoch
         if self.scheduler is None:
             return
         self.epoch += 1
-        self._feed.restart()
+        self._residency_feed.restart()
         for engine in self.scheduler.engines.values():
             engine.ask_again(self._clock.monotonic())
 
     def set_upstreams(self, configuration: ServingConfiguration | None) -> None:
-        """Tell the scheduler which engines there are."""
+        """Set the scheduler's engines from the configuration and the directory."""
         if self.scheduler is None or configuration is None:
             return
         settings = configuration.engine_services()
-        found = [
+        upstreams = [
             upstream for name in settings for upstream in self._directory.view.of(name)
         ]
-        self.scheduler.set_upstreams(settings, found)
-        self._feed.keep(self.scheduler.engines)
+        self.scheduler.set_upstreams(settings, upstreams)
+        self._residency_feed.keep(self.scheduler.engines)
 
-    # What instances ask
+    # Messages of instances and engines
 
     def asked(self, instance: str, ask: Ask) -> None:
-        """Take in a request that waits at an instance."""
+        """Handle a request that waits at an instance."""
         if self.scheduler is None:
             return
         now = self._clock.monotonic()
@@ -168,12 +169,12 @@
         )
 
     def withdrawn(self, want_id: str) -> None:
-        """Take in that a request no longer waits."""
+        """Handle the withdrawal of a waiting request."""
         if self.scheduler is not None:
             self.scheduler.withdraw(want_id)
 
     def used(self, instance: str, uses: Uses) -> None:
-        """Take in what requests of an instance do at engines."""
+        """Handle the beginning, start and end of requests at engines."""
         if self.scheduler is None:
             return
         for use_id, upstream, model, name, tokens in uses.began:
@@ -185,65 +186,65 @@
             self.scheduler.ended(upstream, use_id, UseEnd(end))
 
     def answered(self, upstream: str, number: int, answer: OrderAnswer) -> None:
-        """Take in how an order ended."""
+        """Handle the outcome of an order."""
         if self.scheduler is not None:
             self.scheduler.answered(upstream, number, answer)
 
     def reported(self, upstream: str, report: EngineReport | None) -> None:
-        """Take in what an engine holds."""
+        """Handle an engine's report; None if it did not answer."""
         if self.scheduler is not None:
             self.scheduler.reported(upstream, report)
 
     def instance_gone(self, instance: str) -> None:
-        """Forget what waited at an instance that can't be reached."""
-        self._feed.forget_receiver(instance)
+        """Drop the waiting requests of an instance that is no longer linked."""
+        self._residency_feed.forget_receiver(instance)
         if self.scheduler is not None:
             self.scheduler.instance_gone(instance)
 
     def plan(self, by_time: bool) -> None:
-        """Send the orders that are due; see `Scheduler.plan`."""
+        """Send the orders and residency updates that are due; see `Scheduler.plan`."""
         if self.scheduler is None:
             return
         self.scheduler.plan(by_time)
         now = self._clock.monotonic()
-        if now - self._told_at >= TELL_EVERY:
-            self._told_at = now
+        if now - self._state_logged_at >= STATE_LOG_INTERVAL:
+            self._state_logged_at = now
             self.scheduler.tell()
-        if now - self._holds_told_at >= HOLDS_EVERY:
-            self._holds_told_at = now
-            self._tell_holds()
+        if now - self._residency_sent_at >= RESIDENCY_INTERVAL:
+            self._residency_sent_at = now
+            self._send_residency()
 
-    def _tell_holds(self) -> None:
-        changed, self._changed = self._changed, {}
+    def _send_residency(self) -> None:
+        changed, self._changed_residency = self._changed_residency, {}
         for upstream, held in changed.items():
             self._residency.put(self.epoch, upstream, held)
-        self._feed.tell(self.epoch, changed)
+        self._residency_feed.tell(self.epoch, changed)
 
-    # What the scheduler wants done
+    # Actions of the scheduler
 
-    def _act(self, action: SchedulerAction) -> None:
+    def _carry_out(self, action: SchedulerAction) -> None:
         if isinstance(action, Order):
             self._order(action)
         elif isinstance(action, AskReport):
             self._outside.report(action)
         elif isinstance(action, Placed):
-            self._placed(action)
+            self._send_granted(action)
         elif isinstance(action, Held):
-            self._tell(action.want.instance, Waits(action.want.id))
+            self._send(action.want.instance, Waits(action.want.id))
         elif isinstance(action, Refused):
-            self._refused(action)
+            self._send_declined(action)
         elif isinstance(action, Serving):
-            self._changed[action.upstream] = action.held
+            self._changed_residency[action.upstream] = action.held
 
-    def _placed(self, action: Placed) -> None:
+    def _send_granted(self, action: Placed) -> None:
         want = action.want
         expected = int(action.expected / MILLISECOND)
         granted = Granted(
             want.id, action.upstream, action.version, expected, action.permitted
         )
-        self._tell(want.instance, granted)
+        self._send(want.instance, granted)
 
-    def _refused(self, action: Refused) -> None:
+    def _send_declined(self, action: Refused) -> None:
         want = action.want
         wait = int(action.retry_after / MILLISECOND)
-        self._tell(want.instance, Declined(want.id, action.reason, wait))
+        self._send(want.instance, Declined(want.id, action.reason, wait))
--- a/packages/ashhoist/src/ashhoist/control/task.py
+++ b/packages/ashhoist/src/ashhoist/control/task.py
@@ -1,4 +1,4 @@
-"""The control task: owns the `Core`, takes in messages and carries out its wishes."""
+"""The control task: passes messages to the `Core` and carries out its decisions."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -38,7 +38,7 @@
 IDLE_TICK = timedelta(milliseconds=200)
 LEADING_TICK = timedelta(milliseconds=100)
 BUSY_TICK = timedelta(milliseconds=15)
-"""While loads are under way: what is due next is looked for so often."""
+"""Tick interval while loads are in progress."""
 
 Handler = Callable[["ControlTask", Any], None]
 _handlers: dict[type, Handler] = {}
@@ -55,16 +55,16 @@
 
 
 class ControlTask:
-    """Owns the core; also its `Outside`.
+    """Owns the core and implements its `Outside`.
 
-    Messages are handled when they are sent; what they change is settled once, at
-    the end of the loop's turn.
+    Messages are handled as soon as they are sent; the changes that they make are acted
+    on once, at the end of the loop's turn.
     """
 
     def __init__(self, log: Logger, loop: Loop) -> None:
         self._log = log
         self._loop = loop
-        self._settles = False
+        self._settle_scheduled = False
         self.core: Core
         self._links: Links
         self._store: StoreCalls
@@ -81,7 +81,7 @@
         pool: Pool,
         read_now: Callable[[Topic], None],
     ) -> None:
-        """Set what the task works with, once, before it starts."""
+        """Set the collaborators, once, before the task starts."""
         self.core = core
         self._links = links
         self._store = store
@@ -90,12 +90,12 @@
         self._read_now = read_now
 
     def start(self) -> None:
-        """Begin."""
+        """Start the core and its periodic work."""
         self.core.start()
         self._tick()
 
     def send(self, message: Any) -> None:
-        """Handle a message; a defect in that is logged and ends nothing else."""
+        """Handle a message; an exception in its handler is logged, not propagated."""
         handler = _handlers.get(type(message))
         if handler is None:
             self._log.error("no handler", message=type(message).__name__)
@@ -104,29 +104,29 @@
             handler(self, message)
         except Exception:
             self._log.exception("message failed", message=type(message).__name__)
-        self._settle_soon()
+        self._schedule_settle()
 
-    def _settle_soon(self) -> None:
-        if not self._settles:
-            self._settles = True
+    def _schedule_settle(self) -> None:
+        if not self._settle_scheduled:
+            self._settle_scheduled = True
             self._loop.call_at_end_of_turn(self._settle)
 
     def _settle(self) -> None:
-        self._settles = False
+        self._settle_scheduled = False
         self.core.settle()
 
     def _tick(self) -> None:
-        """Do what is due by time."""
+        """Run the core's periodic work, and schedule the next tick."""
         now = self._loop.clock.monotonic()
         self._loop.call_at(now + self._interval(), self._tick)
-        read_itself = self.core.reads_itself
+        was_reading = self.core.reads_itself
         self.core.tick()
-        if self.core.reads_itself and not read_itself:
+        if self.core.reads_itself and not was_reading:
             for topic in SHARED_TOPICS:
                 self._read_now(topic)
 
     def _interval(self) -> timedelta:
-        """Return a shorter interval while loads are due, or this instance leads."""
+        """Return the tick interval: shorter when loading, leading or stopping."""
         scheduler = self.core.scheduling.scheduler
         if scheduler is not None and scheduler.busy:
             return BUSY_TICK
@@ -134,10 +134,10 @@
             return LEADING_TICK
         return IDLE_TICK
 
-    # Outside
+    # Implementation of `Outside`
 
     def send_to(self, peer: str, message: Any) -> bool:
-        """Send a message to an instance."""
+        """Send a message to an instance; False if there is no link."""
         return self._links.send_to(peer, message)
 
     def drop(self, peer: str, reason: str) -> None:
@@ -145,22 +145,24 @@
         self._links.drop(peer, reason)
 
     def link(self, endpoints: list[Endpoint], dials_all: bool) -> None:
-        """Say which instances there should be links to, and who dials."""
+        """Set which instances to link to, and whether this one dials all of them."""
         self._loop.call_soon(lambda: self._links.set_peers(endpoints, dials_all))
 
     def lease_call(self, action: LeaseAction) -> None:
-        """Make a store call for the lease."""
+        """Make a store call for a lease of this instance."""
         self._store.lease_call(action)
 
     def lease_call_for(self, peer: str, message: Any) -> None:
-        """Make a store call for another instance's lease."""
-        self._store.lease_call_for(message, lambda answer: self._tell(peer, answer))
+        """Make a store call for another instance's lease, and send it the result."""
+        self._store.lease_call_for(
+            message, lambda answer: self._send_answer(peer, answer)
+        )
 
-    def _tell(self, peer: str, message: Any) -> None:
+    def _send_answer(self, peer: str, message: Any) -> None:
         self._links.send_to(peer, message)
 
     def read_now(self, topic: Topic) -> None:
-        """Read a topic of the log once, and now."""
+        """Read a topic of the log once, immediately."""
         self._read_now(topic)
 
     def register(self) -> None:
@@ -172,19 +174,19 @@
         self._store.unregister()
 
     def append_crashes(self, records: Mapping[str, bytes]) -> None:
-        """Write records, by key, of requests that were cut off."""
+        """Write crash records by key; an empty value deletes a record."""
         self._store.append_crashes(records)
 
     def order(self, order: Order) -> None:
-        """Send an order."""
+        """Send an order to an engine."""
         self._engines.order(order)
 
     def report(self, request: AskReport) -> None:
-        """Ask an engine what it holds."""
+        """Request a report from an engine."""
         self._engines.report(request)
 
     def forget_upstream(self, upstream: str) -> None:
-        """Drop what is kept for an upstream that has gone."""
+        """Close the connections to an upstream that no longer exists."""
         self._pool.forget(upstream)
         self._engines.forget(upstream)
 
@@ -196,7 +198,7 @@
 
     @_handles(FollowerState)
     def _follower_state(self, state: FollowerState) -> None:
-        """Pass over: the follower has logged it, and what was read has its age."""
+        """Ignore: the follower logs it, and the age of the last read is known."""
 
     @_handles(LeaseRead)
     def _lease_read(self, message: LeaseRead) -> None:
@@ -253,11 +255,11 @@
 
     @_handles(ChargeUnanswered)
     def _charge_unanswered(self, message: ChargeUnanswered) -> None:
-        self.core.quotas.unanswered(message)
+        self.core.quotas.charge_timed_out(message)
 
     @_handles(TokensUnused)
     def _tokens_unused(self, message: TokensUnused) -> None:
-        self.core.quotas.unused(message)
+        self.core.quotas.refund(message)
 
     @_handles(RequestCut)
     def _request_cut(self, message: RequestCut) -> None:
--- a/tests/test_many_crashes.py
+++ b/tests/test_many_crashes.py
@@ -1,7 +1,7 @@
-"""A request that crashes upstreams, amid troubles of the log, the links and processes.
+"""A request that crashes upstreams, under faults of the log, links and processes.
 
-It comes again and again, at any instance. After three upstreams have ended under it,
-instances in contact may send it three times more, over all of them together.
+The request arrives repeatedly, at any instance. After it has crashed three upstreams,
+instances in contact may send it at most three more times in total.
 """
 
 import unittest
@@ -21,18 +21,20 @@
 
 REQUEST = "fingerprint"
 FURTHER = 3
-RUNS_S = 0.05
-"""From the sending of the request until its upstream ends."""
-COMES_PER_STEP = 0.15
-TOLD_S = 0.3
-TRIES_IN_18_S = 8
-"""With pauses of 0.5, 1, 2 and then 4 s, and 0.4 s for each that gets no answer."""
+"""Sends that are allowed after the third crash."""
+RUN_S = 0.05
+"""Time from sending the request until its upstream crashes."""
+SEND_PROBABILITY = 0.15
+PROPAGATION_S = 0.3
+ATTEMPTS_IN_18_S = 8
+"""With pauses of 0.5, 1, 2 and then 4 s, and 0.4 s per attempt without an answer."""
 SEEDS_OF_VARIANTS = (3, 5)
-"""Days in which every variant below does harm; nothing is wrong without one."""
+"""Seeds for which every broken variant below causes violations, and the unmodified code
+causes none."""
 
 
 def cut(world: World, name: str, life: str, request: str = REQUEST) -> None:
-    """Let an upstream break off under a request of an instance."""
+    """Let an upstream crash while it runs a request of an instance."""
     machine = world.machines[name]
     core = machine.core
     assert core is not None
@@ -45,7 +47,7 @@
 
 
 def holding(world: World) -> list[str]:
-    """Return the instances that hold the request back."""
+    """Return the instances that quarantine the request."""
     return [
         name
         for name, machine in world.machines.items()
@@ -57,7 +59,7 @@
     return list(world.machines)
 
 
-class ToldTests(unittest.TestCase):
+class PropagationTests(unittest.TestCase):
     def start(self, instances: int, zones: int = 1) -> World:
         world = World(instances, 2, zones=zones)
         world.start()
@@ -68,14 +70,14 @@
         for number, name in enumerate(list(world.machines)[-CRASHES:]):
             cut(world, name, f"life-{number}")
 
-    def test_all_know_within_a_moment(self) -> None:
+    def test_all_instances_learn_of_crashes_quickly(self) -> None:
         for instances in (7, 24):
             world = self.start(instances, zones=3)
             self.crash_at_three(world)
-            world.run(TOLD_S)
+            world.run(PROPAGATION_S)
             self.assertEqual(holding(world), everybody(world))
 
-    def test_two_crashes_hold_nothing_back(self) -> None:
+    def test_two_crashes_do_not_quarantine(self) -> None:
         world = self.start(3)
         for life in ("one", "two"):
             for name in world.machines:
@@ -83,21 +85,21 @@
         world.run(5.0)
         self.assertEqual(holding(world), [])
 
-    def test_a_zone_that_is_cut_off_but_reads_the_log_knows_too(self) -> None:
+    def test_disconnected_instance_learns_from_the_log(self) -> None:
         world = self.start(7, zones=3)
-        alone = "instance-2"
-        world.machines[alone].links_cut = True
+        disconnected = "instance-2"
+        world.machines[disconnected].links_cut = True
         world.run(3.0)
         for number, name in enumerate(("instance-0", "instance-1", "instance-3")):
             cut(world, name, f"life-{number}")
         world.run(world.bounds.contact.total_seconds())
         self.assertEqual(holding(world), everybody(world))
 
-    def test_who_starts_after_all_were_killed_knows(self) -> None:
-        self.assertEqual(self.hold_after_all_were_killed(), self.names())
+    def test_quarantine_survives_a_kill_of_all_instances(self) -> None:
+        self.assertEqual(self.holding_after_restart_of_all(), self.names())
 
-    def hold_after_all_were_killed(self) -> list[str]:
-        """Return the instances that hold the request back in their next life."""
+    def holding_after_restart_of_all(self) -> list[str]:
+        """Return the instances that quarantine the request after a restart of all."""
         world = self.start(7)
         self.crash_at_three(world)
         world.run(1.0)
@@ -111,14 +113,15 @@
     def names(self) -> list[str]:
         return [f"instance-{number}" for number in range(7)]
 
-    def test_what_links_tell_does_not_stand_for_the_log(self) -> None:
-        # Nobody that was told is left: either of these broken alone has to show.
+    def test_notices_do_not_replace_the_log(self) -> None:
+        # No instance that received notices is left: breaking either the writing or the
+        # reading of crash records must be detected.
         with mock.patch.object(CrashReports, "step"):
-            self.assertEqual(self.hold_after_all_were_killed(), [])
+            self.assertEqual(self.holding_after_restart_of_all(), [])
         with mock.patch.object(Quarantine, "put", return_value=False):
-            self.assertEqual(self.hold_after_all_were_killed(), [])
+            self.assertEqual(self.holding_after_restart_of_all(), [])
 
-    def test_who_starts_beside_others_knows(self) -> None:
+    def test_restarted_instance_learns_from_the_others(self) -> None:
         world = self.start(24, zones=3)
         self.crash_at_three(world)
         world.run(1.0)
@@ -128,7 +131,7 @@
         world.run(1.0)
         self.assertIn("instance-23", holding(world))
 
-    def test_what_happens_while_the_log_is_away_is_told_on_its_return(self) -> None:
+    def test_crashes_during_a_log_outage_are_written_afterwards(self) -> None:
         world = self.start(7)
         world.store.is_down = True
         world.run(3.0)
@@ -138,37 +141,40 @@
         world.run(world.bounds.contact.total_seconds())
         self.assertEqual(holding(world), everybody(world))
 
-    def test_a_log_that_is_away_is_not_asked_without_end(self) -> None:
-        # Each instance that had something to tell tried twice a second while the log
-        # was away, all of a fleet at once: 80 tries of three instances in 18 seconds.
+    def test_unavailable_log_is_retried_with_backoff(self) -> None:
+        # Fault: while the log was unavailable, each instance with records to write
+        # retried twice a second, all of a fleet at once: 80 attempts of three instances
+        # in 18 s.
         world = self.start(7)
         world.store.is_down = True
         self.crash_at_three(world)
         before = world.store.crash_writes
         world.run(18.0)
-        self.assertLessEqual(world.store.crash_writes - before, CRASHES * TRIES_IN_18_S)
+        self.assertLessEqual(
+            world.store.crash_writes - before, CRASHES * ATTEMPTS_IN_18_S
+        )
         world.store.is_down = False
         world.run(world.bounds.contact.total_seconds())
         self.assertEqual(holding(world), everybody(world))
 
-    def test_another_writes_for_one_that_the_log_turns_away(self) -> None:
+    def test_instance_without_log_access_writes_through_another(self) -> None:
         world = self.start(7)
-        away = "instance-6"
-        world.machines[away].store_cut = True
+        rejected = "instance-6"
+        world.machines[rejected].store_cut = True
         for number in range(CRASHES):
-            cut(world, away, f"life-{number}")
+            cut(world, rejected, f"life-{number}")
         world.run(2.0)
         self.assertEqual(holding(world), everybody(world))
 
-    def test_a_history_that_is_gone_takes_nothing_with_it(self) -> None:
+    def test_quarantine_survives_the_loss_of_log_history(self) -> None:
         world = self.start(3)
         self.crash_at_three(world)
-        world.run(TOLD_S)
+        world.run(PROPAGATION_S)
         world.log.forget_history(Topic.CRASHES)
         world.run(5.0)
         self.assertEqual(holding(world), everybody(world))
 
-    def test_old_crashes_are_dropped_from_the_log_and_everywhere(self) -> None:
+    def test_expired_crashes_are_deleted_everywhere(self) -> None:
         world = self.start(3)
         with mock.patch("ashhoist.quarantine.quarantine.WINDOW", world.bounds.stop):
             self.crash_at_three(world)
@@ -181,24 +187,24 @@
 
 @dataclass
 class CrashesDay(ChangesDay):
-    """A day on which one request crashes each upstream that it reaches."""
+    """A simulated run in which one request crashes each upstream that it reaches."""
 
-    ended: list[float] = field(default_factory=list)
-    """When upstreams have ended under it."""
+    crashed_at: list[float] = field(default_factory=list)
+    """The times of the crashes."""
     sent_in_contact: list[tuple[float, str]] = field(default_factory=list)
     lives: int = 0
 
     def pass_time(self, seconds: float) -> None:
-        self._come()
+        self._send_request()
         super().pass_time(seconds)
 
     def _look(self) -> None:
         super()._look()
-        self._come()
+        self._send_request()
 
-    def _come(self) -> None:
-        """Let the request come at an instance, now and then."""
-        if self.source.random() > COMES_PER_STEP:
+    def _send_request(self) -> None:
+        """Let the request arrive at a random instance, with `SEND_PROBABILITY`."""
+        if self.source.random() > SEND_PROBABILITY:
             return
         name = self.source.choice(list(self.world.machines))
         machine = self.world.machines[name]
@@ -209,22 +215,22 @@
             self.sent_in_contact.append((self.world.now, name))
         self.lives += 1
         life = f"life-{self.lives}"
-        self.world.after(RUNS_S, lambda: self._end(machine, core, life))
+        self.world.after(RUN_S, lambda: self._record_crash(machine, core, life))
 
     def _in_contact(self, name: str) -> bool:
         contact = self.bounds.contact.total_seconds()
         return self.world.now > self.touched[name] + contact
 
-    def _end(self, machine: Machine, core: Core, life: str) -> None:
-        self.ended.append(self.world.now)
+    def _record_crash(self, machine: Machine, core: Core, life: str) -> None:
+        self.crashed_at.append(self.world.now)
         machine.do(core, lambda: _cut(core, life, REQUEST))
 
     @property
     def sent_too_often(self) -> list[tuple[float, str]]:
-        """Return the sends that count after the third upstream has ended."""
-        if len(self.ended) < CRASHES:
+        """Return the sends by instances that must know of the third crash."""
+        if len(self.crashed_at) < CRASHES:
             return []
-        after = self.ended[CRASHES - 1] + self.bounds.contact.total_seconds()
+        after = self.crashed_at[CRASHES - 1] + self.bounds.contact.total_seconds()
         return [sent for sent in self.sent_in_contact if sent[0] > after]
 
 
@@ -245,10 +251,10 @@
 
 
 class BrokenVariantTests(unittest.TestCase):
-    """Each mechanism, broken on purpose: some of a few days must show it."""
+    """Disables one mechanism at a time: some of the seeded runs must detect it."""
 
     def is_caught(self) -> bool:
-        """Return whether any of a few days finds too many sends."""
+        """Return whether any of the seeded runs has too many sends."""
         for seed in SEEDS_OF_VARIANTS:
             day = CrashesDay(7, seed)
             day.play()
@@ -256,17 +262,17 @@
                 return True
         return False
 
-    def test_the_days_find_nothing_in_what_is_whole(self) -> None:
+    def test_unmodified_code_has_no_violations(self) -> None:
         self.assertFalse(self.is_caught())
 
-    def test_an_instance_that_tells_nobody(self) -> None:
+    def test_detects_missing_records_and_notices(self) -> None:
         with (
             mock.patch.object(CrashReports, "step"),
             mock.patch.object(CrashNotices, "_tell_all"),
         ):
             self.assertTrue(self.is_caught())
 
-    def test_nothing_that_is_told_is_taken_in(self) -> None:
+    def test_detects_ignored_records_and_notices(self) -> None:
         with (
             mock.patch.object(Quarantine, "put", return_value=False),
             mock.patch.object(CrashNotices, "told"),
--- a/tests/test_many_customers.py
+++ b/tests/test_many_customers.py
@@ -1,10 +1,9 @@
-"""Keys taken away and quotas, on many instances under random troubles.
+"""Revoked keys and quotas on many instances under random faults.
 
-Checked at every instance, in contact or not, from what upstreams would see: a key that
-was taken away is accepted nowhere when its time is over, and no window has more of a
-customer's tokens than its quota allows. Beside, what must not be refused: callers with
-good keys at instances that are in contact, and customers that stay below their quota on
-a day without troubles.
+Checked at every instance, connected or not, by what upstreams would see: no instance
+accepts a revoked key after the revocation time, and no window has more tokens of a
+customer than its quota allows. Nor may valid requests be refused: those with valid keys
+at instances in contact, and, without faults, those of customers below their quota.
 """
 
 import unittest
@@ -36,75 +35,79 @@
 from .test_many_changes import STEP, ChangesDay
 
 KEYS = 12
-REVOKED_WITHIN = 5.0
+REVOCATION_S = 5.0
 WINDOW_S = 8.0
 OVERAGE = 0.1
-TOKENS = 2500.0
-SLACK = 17_000.0
-"""Tokens by which the platform lets a window be passed, beside the overage."""
-HOT, CALM = "hot", "calm"
+TOKENS_PER_REQUEST = 2500.0
+SLACK_TOKENS = 17_000.0
+"""Tokens by which a window may exceed the quota in addition to the overage."""
+OVER_QUOTA, BELOW_QUOTA = "hot", "calm"
 QUOTA_BY_NAME = {
-    HOT: Quota(40_000.0, 40_000.0, QuotaUnit.TOKENS),
-    CALM: Quota(40_000.0, 40_000.0, QuotaUnit.TOKENS),
+    OVER_QUOTA: Quota(40_000.0, 40_000.0, QuotaUnit.TOKENS),
+    BELOW_QUOTA: Quota(40_000.0, 40_000.0, QuotaUnit.TOKENS),
 }
 SEEDS = (0, 7, 21)
-DEMAND = {HOT: 4.0, CALM: 0.55}
-"""Of the quota's rate, that callers ask for."""
+DEMAND = {OVER_QUOTA: 4.0, BELOW_QUOTA: 0.55}
+"""Tokens that callers ask for, relative to the quota's rate."""
 
 
 @dataclass
 class CustomersDay(ChangesDay):
-    """A day on which keys come and go, and one customer asks for far too much.
+    """A simulated run in which keys are revoked and one customer exceeds its quota.
 
     Attributes
     ----------
     removed_at : dict
-        When it was confirmed that a key is taken away.
-    accepted : list of str
+        When the revocation of a key was confirmed.
+    wrongly_accepted : list of str
         Where a key was accepted for too long.
-    needless : list of str
-        Instances in contact that accepted no key.
+    unproven : list of str
+        Instances in contact that accepted no keys.
     spent : dict
-        When, and how many tokens, by customer.
+        Times and numbers of tokens spent, by customer.
+    home_by_caller : list of str
+        The instance that each caller sends its requests to.
     """
 
     within_s: int = 3
     keys: list[str] = field(default_factory=lambda: [f"k{i}" for i in range(KEYS)])
     removed_at: dict[str, float] = field(default_factory=dict)
-    accepted: list[str] = field(default_factory=list)
-    needless: list[str] = field(default_factory=list)
+    wrongly_accepted: list[str] = field(default_factory=list)
+    unproven: list[str] = field(default_factory=list)
     spent: dict[str, list[tuple[float, float]]] = field(
-        default_factory=lambda: {HOT: [], CALM: []}
+        default_factory=lambda: {OVER_QUOTA: [], BELOW_QUOTA: []}
     )
     refused: Counter[str] = field(default_factory=Counter)
-    asked: Counter[str] = field(default_factory=Counter)
-    homes: list[str] = field(default_factory=list)
+    requested: Counter[str] = field(default_factory=Counter)
+    home_by_caller: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self._write_keys()
         names = list(self.world.machines)
-        self.homes = [self.source.choice(names) for _ in range(40)]
+        self.home_by_caller = [self.source.choice(names) for _ in range(40)]
         self.world.run(6.0)
-        self._keep_asking()
+        self._send_requests()
 
     def make_bounds(self) -> BoundsSection:
         bounds = super().make_bounds()
-        within = timedelta(seconds=REVOKED_WITHIN)
+        within = timedelta(seconds=REVOCATION_S)
         return bounds.model_copy(update={"revocation": within})
 
     # Keys
 
     def _write_keys(self) -> None:
         digests = frozenset(digest(key) for key in self.keys)
-        calm = Customer(CALM, digests, quota=QUOTA_BY_NAME[CALM])
-        hot = Customer(HOT, frozenset({digest("h")}), quota=QUOTA_BY_NAME[HOT])
-        self.world.customers = (calm, hot)
+        below_quota = Customer(BELOW_QUOTA, digests, quota=QUOTA_BY_NAME[BELOW_QUOTA])
+        over_quota = Customer(
+            OVER_QUOTA, frozenset({digest("h")}), quota=QUOTA_BY_NAME[OVER_QUOTA]
+        )
+        self.world.customers = (below_quota, over_quota)
         self.version += 1
         self.world.put_configuration(self.version, self.source.choice((1, 20_000)))
 
     def change(self) -> None:
-        """Take a key away, at times; else change what other days change."""
+        """Revoke a key, or make one of the base class's changes."""
         if self.world.store.is_down:
             return
         if self.source.random() < 0.5 and len(self.keys) > 1:
@@ -120,60 +123,62 @@
         for name, machine in self.world.machines.items():
             if machine.core is None or machine.frozen:
                 continue
-            self._look_at_keys(name, machine, now)
+            self._check_keys(name, machine, now)
 
-    def _look_at_keys(self, name: str, machine: Machine, now: timedelta) -> None:
+    def _check_keys(self, name: str, machine: Machine, now: timedelta) -> None:
         table = machine.in_force.table
         holds = machine.proof.holds(now)
         contact = self.touched[name] + self.bounds.contact.total_seconds()
         if not holds and self.world.now > contact + STEP:
-            self.needless.append(f"{name} at {self.world.now:.2f}")
+            self.unproven.append(f"{name} at {self.world.now:.2f}")
         if table is None or not holds:
             return
         for key, at in self.removed_at.items():
-            late = self.world.now > at + REVOKED_WITHIN
-            if late and table.customers.find(digest(key)) is not None:
-                self.accepted.append(f"{name} at {self.world.now:.2f}: {key}")
+            is_overdue = self.world.now > at + REVOCATION_S
+            if is_overdue and table.customers.find(digest(key)) is not None:
+                self.wrongly_accepted.append(f"{name} at {self.world.now:.2f}: {key}")
 
     # Quotas
 
-    def _keep_asking(self) -> None:
-        """Let callers ask, each at its instance or, if that is gone, at another."""
+    def _send_requests(self) -> None:
+        """Send callers' requests for one step, and schedule the next step."""
         for customer, quota in QUOTA_BY_NAME.items():
-            expected = quota.rate * DEMAND[customer] * STEP / TOKENS
+            expected = quota.rate * DEMAND[customer] * STEP / TOKENS_PER_REQUEST
             count = int(expected) + (self.source.random() < expected % 1)
             for _ in range(count):
-                self._ask(customer)
-        self.world.after(STEP, self._keep_asking)
+                self._charge(customer)
+        self.world.after(STEP, self._send_requests)
 
-    def _ask(self, customer: str) -> None:
-        machine = self.world.machines[self.source.choice(self.homes)]
+    def _charge(self, customer: str) -> None:
+        machine = self.world.machines[self.source.choice(self.home_by_caller)]
         core = machine.core
         if core is None or machine.frozen:
             return
-        charge = Charge(customer, TOKENS)
-        self.asked[customer] += 1
+        charge = Charge(customer, TOKENS_PER_REQUEST)
+        self.requested[customer] += 1
         charge.answer.add_done_callback(
             lambda answer: self._charged(customer, answer.result().spent)
         )
         core.quotas.charge(charge)
-        late = machine.then(
-            lambda core: core.quotas.unanswered(ChargeUnanswered(charge))
+        give_up = machine.then(
+            lambda core: core.quotas.charge_timed_out(ChargeUnanswered(charge))
         )
-        self.world.after(PATIENCE.total_seconds(), late)
+        self.world.after(PATIENCE.total_seconds(), give_up)
 
     def _charged(self, customer: str, spent: bool) -> None:
         if spent:
-            self.spent[customer].append((self.world.now, TOKENS))
+            self.spent[customer].append((self.world.now, TOKENS_PER_REQUEST))
         else:
             self.refused[customer] += 1
 
     def over_quota(self) -> list[str]:
-        """Return the windows that have more tokens than allowed."""
+        """Return the windows with more tokens than allowed."""
         found = []
         for customer, spent in self.spent.items():
             quota = QUOTA_BY_NAME[customer]
-            allowed = (quota.rate * WINDOW_S + quota.burst) * (1 + OVERAGE) + SLACK
+            allowed = (quota.rate * WINDOW_S + quota.burst) * (
+                1 + OVERAGE
+            ) + SLACK_TOKENS
             first, total = 0, 0.0
             for at, tokens in spent:
                 total += tokens
@@ -187,27 +192,27 @@
         return found
 
 
-class CalmDayTests(unittest.TestCase):
-    def test_below_its_quota_a_customer_is_refused_nothing(self) -> None:
+class NoFaultTests(unittest.TestCase):
+    def test_customer_below_its_quota_is_never_refused(self) -> None:
         day = CustomersDay(24, 1)
         day.pass_time(20.0)
-        self.assertEqual(day.refused[CALM], 0)
+        self.assertEqual(day.refused[BELOW_QUOTA], 0)
         self.assertEqual(day.over_quota(), [])
-        self.assertEqual(day.needless, [])
+        self.assertEqual(day.unproven, [])
 
-    def test_above_its_quota_a_customer_gets_all_of_it(self) -> None:
+    def test_customer_above_its_quota_gets_the_full_quota(self) -> None:
         day = CustomersDay(24, 2)
         began = day.world.now
         day.pass_time(20.0)
-        quota = QUOTA_BY_NAME[HOT]
-        spent = sum(tokens for at, tokens in day.spent[HOT] if at >= began)
+        quota = QUOTA_BY_NAME[OVER_QUOTA]
+        spent = sum(tokens for at, tokens in day.spent[OVER_QUOTA] if at >= began)
         self.assertGreater(spent, quota.rate * 20 * 0.95)
 
 
 class ManyCustomersTests(unittest.TestCase):
     def check(self, day: CustomersDay) -> None:
-        self.assertEqual(day.accepted[:3], [])
-        self.assertEqual(day.needless[:3], [])
+        self.assertEqual(day.wrongly_accepted[:3], [])
+        self.assertEqual(day.unproven[:3], [])
         self.assertEqual(day.over_quota()[:3], [])
         self.assertEqual(day.late[:3], [])
 
@@ -227,56 +232,59 @@
 
 
 class BrokenVariantTests(unittest.TestCase):
-    """Each mechanism, broken on purpose: some of a few days must show it."""
+    """Disables one mechanism at a time: some of the seeded runs must detect it."""
 
     def finds(self, instances: int = 7, seeds: tuple[int, ...] = SEEDS) -> set[str]:
-        """Return what a few days find."""
+        """Return the kinds of violations that the seeded runs detect."""
         found = set()
         for seed in seeds:
             day = CustomersDay(instances, seed)
             day.play()
-            if day.accepted:
-                found.add("accepted")
+            if day.wrongly_accepted:
+                found.add("wrongly_accepted")
             if day.over_quota():
                 found.add("over quota")
-            if day.needless:
-                found.add("needless")
+            if day.unproven:
+                found.add("unproven")
         return found
 
-    def test_the_days_find_nothing_in_what_is_whole(self) -> None:
+    def test_unmodified_code_has_no_violations(self) -> None:
         self.assertEqual(self.finds(), set())
 
-    def test_keys_that_need_no_proof(self) -> None:
+    def test_detects_keys_accepted_without_proof(self) -> None:
         with mock.patch.object(Proof, "holds", lambda proof, now: True):
-            self.assertIn("accepted", self.finds())
+            self.assertIn("wrongly_accepted", self.finds())
 
-    def test_shares_that_are_never_taken_back(self) -> None:
+    def test_detects_shares_that_never_expire(self) -> None:
         with mock.patch.object(shares, "LEFT_FOR", timedelta(hours=1)):
             self.assertIn("over quota", self.finds())
 
-    def test_a_granter_that_grants_all_whoever_has_left_it_a_share(self) -> None:
+    def test_detects_a_granter_that_ignores_shares(self) -> None:
         with mock.patch.object(Granter, "share", lambda *_: 1.0):
             self.assertIn("over quota", self.finds())
 
-    def test_an_instance_that_is_alone_and_spends_what_it_likes(self) -> None:
+    def test_detects_unlimited_spending_without_the_leader(self) -> None:
         with mock.patch.object(Allowances, "spend_alone", lambda *_: None):
             self.assertIn("over quota", self.finds())
 
-    def test_proof_that_nobody_is_asked_for(self) -> None:
+    def test_detects_proof_that_is_never_requested(self) -> None:
         with mock.patch.object(Proofs, "keep"), mock.patch.object(Proofs, "heard"):
-            self.assertIn("needless", self.finds())
+            self.assertIn("unproven", self.finds())
 
 
-class LonelyStartTests(unittest.TestCase):
-    def test_one_that_knows_of_no_other_grants_nothing(self) -> None:
-        """Who has just started can't tell that it is alone.
+class IsolatedStartTests(unittest.TestCase):
+    def test_instance_that_knows_no_others_grants_nothing(self) -> None:
+        """An instance that has just started can't know that there are no others.
 
-        Symptom: a customer got seven times its quota. Sequence: all were killed and
-        started cut off from each other and from the store; each led, and took itself
-        for the only one. Cause: what is not known of others counted as none.
+        Fault: a customer got seven times its quota. All instances had been killed and
+        started again, disconnected from each other and from the store. Each became the
+        leader and assumed that it was the only one, because an unknown number of other
+        instances counted as zero.
         """
         world = World(3)
-        world.customers = (Customer(HOT, frozenset(), quota=QUOTA_BY_NAME[HOT]),)
+        world.customers = (
+            Customer(OVER_QUOTA, frozenset(), quota=QUOTA_BY_NAME[OVER_QUOTA]),
+        )
         world.put_configuration(2)
         world.store.registered = set()
         for machine in world.machines.values():
@@ -287,20 +295,20 @@
         core.membership.knows_others = False
         world.run(3.0)
         core.membership.knows_others = False
-        charge = Charge(HOT, TOKENS)
+        charge = Charge(OVER_QUOTA, TOKENS_PER_REQUEST)
         core.quotas.charge(charge)
         self.assertFalse(charge.answer.result().spent)
         core.membership.knows_others = True
         world.run(1.0)
-        charge = Charge(HOT, TOKENS)
+        charge = Charge(OVER_QUOTA, TOKENS_PER_REQUEST)
         core.quotas.charge(charge)
         self.assertTrue(charge.answer.result().spent)
 
 
-class ToldProofTests(unittest.TestCase):
+class ReceivedProofTests(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3)
-        self.world.customers = (Customer(CALM, frozenset({digest("k")})),)
+        self.world.customers = (Customer(BELOW_QUOTA, frozenset({digest("k")})),)
         self.world.put_configuration(2)
         self.world.start()
         self.world.run(4.0)
@@ -312,17 +320,17 @@
         self.known = core.records.knowledge.known_to(Topic.CONFIGURATION)
 
     def tell(self, asked_at: timedelta, offset: int) -> None:
-        """Let another instance answer that its proof was 0.3 s old."""
+        """Deliver another instance's answer that its proof was 0.3 s old."""
         answer = Proven(asked_at // MICROSECOND, 300_000, offset)
         self.core.peer_message("instance-1", answer)
 
-    def test_proof_is_as_old_as_its_question(self) -> None:
-        """An answer that lay in a buffer while the process was frozen is old.
+    def test_proof_age_counts_from_the_request(self) -> None:
+        """An answer that was buffered while the process was frozen must count as old.
 
-        Symptom: a key that was taken away was accepted for some seconds too long.
-        Sequence: an instance asked and was frozen; the answer came; the key was taken
-        away; the instance woke, cut off, and took the answer. Cause: the proof's age
-        was counted from when the answer was read.
+        Fault: a revoked key was accepted for some seconds too long. An instance asked
+        for proof and was frozen; the answer arrived; the key was revoked; the instance
+        resumed, disconnected, and read the answer. The proof's age was counted from
+        when the answer was read, not from when it was requested.
         """
         asked_at = self.world.clock.monotonic()
         self.world.clock.advance(timedelta(seconds=4))
@@ -330,12 +338,11 @@
         age = self.machine.proof.age(self.world.clock.monotonic())
         self.assertEqual(age, timedelta(seconds=4.3))
 
-    def test_proof_counts_once_all_that_it_is_of_is_known(self) -> None:
-        """Who knows that a change exists must not pass for one that has it in force.
+    def test_proof_counts_only_once_its_offset_is_known(self) -> None:
+        """Proof of a newer configuration must not vouch for an older one.
 
-        Symptom: a removed key was accepted. Sequence: an instance that had not been
-        told of a change yet was shown proof by one that had. Cause: the proof was
-        taken for what this instance knew.
+        Fault: a revoked key was accepted. An instance that had not received a change
+        yet got proof from one that had, and applied the proof to its own, older state.
         """
         now = self.world.clock.monotonic()
         self.tell(now, self.known + 1)
@@ -344,7 +351,7 @@
         self.world.run(1.0, lambda: self.machine.proof.proved_at is not None)
         self.assertEqual(self.machine.in_force.version, 3)
 
-    def test_who_has_no_proof_shows_none(self) -> None:
+    def test_instance_without_proof_sends_none(self) -> None:
         self.world.links.counts_bytes = True
         self.core.peer_message("instance-1", AskProof(0, -1))
         self.assertEqual(self.world.links.sent["Proven"], 0)
--- a/tests/test_many_faults.py
+++ b/tests/test_many_faults.py
@@ -1,4 +1,4 @@
-"""Many instances under random faults: what must hold, and that all is well after."""
+"""Many instances under random faults: invariants, and full recovery afterwards."""
 
 import random
 import unittest
@@ -14,15 +14,18 @@
 ZONES = 3
 HUBS = 2 * ZONES
 STEPS = 30
-HEALS = 14.0
-"""Longer than a lease lasts, and than any fault below."""
+RECOVERY_S = 14.0
+"""Recovery time: longer than the term of a lease and than any fault below."""
 
 
 class ManyFaultsDay:
-    """Instances in three zones, six of them hubs, and faults drawn from a seed."""
+    """A simulated run of instances in three zones, with faults drawn from a seed.
+
+    The first `HUBS` instances have the capacity of hubs.
+    """
 
     def __init__(self, seed: int) -> None:
-        self.source = random.Random(seed)
+        self.rng = random.Random(seed)
         self.world = World(INSTANCES, 6, LeaseTiming(), zones=ZONES)
         for index, machine in enumerate(self.world.machines.values()):
             machine.capacity = 2.15 if index < HUBS else 0.52
@@ -31,88 +34,90 @@
         self.world.run(6.0)
 
     def play(self) -> "ManyFaultsDay":
-        """Play to the end, and let all heal."""
+        """Inject faults and send requests, then let the instances recover."""
         for _ in range(STEPS):
-            if self.source.random() < 0.5:
-                self._disturb()
+            if self.rng.random() < 0.5:
+                self._inject_fault()
             for name, machine in self.world.machines.items():
-                if machine.core is not None and self.source.random() < 0.2:
-                    want(self.world, name, f"a{self.source.randrange(40)}")
-            self.world.run(self.source.uniform(0.1, 0.6))
-        self.world.run(HEALS)
+                if machine.core is not None and self.rng.random() < 0.2:
+                    want(self.world, name, f"a{self.rng.randrange(40)}")
+            self.world.run(self.rng.uniform(0.1, 0.6))
+        self.world.run(RECOVERY_S)
         return self
 
-    def _disturb(self) -> None:
+    def _inject_fault(self) -> None:
         faults = (
-            self._herd,
+            self._kill_many,
             self._freeze,
-            self._cut_store,
+            self._disconnect_store,
             self._cut_zone,
             self._cut_links,
             self._reset_links,
             self._stop,
             self._store_down,
-            self._lose,
-            self._change,
+            self._lose_answers,
+            self._change_configuration,
         )
-        self.source.choice(faults)()
+        self.rng.choice(faults)()
 
-    def _some(self) -> list[str]:
-        """Return a few machines, hubs more often than others."""
+    def _pick_machines(self) -> list[str]:
+        """Return a hubs machines, with hubs more likely than others."""
         names = list(self.world.machines)
-        few = self.source.sample(names[:HUBS], self.source.randrange(1, 4))
-        return few + self.source.sample(names[HUBS:], self.source.randrange(0, 8))
-
-    def _herd(self) -> None:
-        """Kill many at the same moment; they come back after about a second."""
-        whole = self.source.random() < 0.3
-        for name in list(self.world.machines) if whole else self._some():
+        hubs = self.rng.sample(names[:HUBS], self.rng.randrange(1, 4))
+        return hubs + self.rng.sample(names[HUBS:], self.rng.randrange(0, 8))
+
+    def _kill_many(self) -> None:
+        """Kill many at the same moment; they start again delay about a second."""
+        all_machines = self.rng.random() < 0.3
+        for name in (
+            list(self.world.machines) if all_machines else self._pick_machines()
+        ):
             if self.world.machines[name].core is not None:
                 self.world.kill(name)
-                after = self.source.uniform(0.4, 1.6)
-                self.world.after(after, lambda name=name: self._start(name))
+                delay = self.rng.uniform(0.4, 1.6)
+                self.world.after(delay, lambda name=name: self._start(name))
 
     def _start(self, name: str) -> None:
         if self.world.machines[name].core is None:
             self.world.start(name)
 
     def _freeze(self) -> None:
-        for name in self._some()[:3]:
+        for name in self._pick_machines()[:3]:
             machine = self.world.machines[name]
             if machine.core is not None and not machine.frozen:
-                self.world.freeze(name, self.source.uniform(0.3, 5.0))
+                self.world.freeze(name, self.rng.uniform(0.3, 5.0))
 
-    def _cut_store(self) -> None:
-        for name in self._some():
+    def _disconnect_store(self) -> None:
+        for name in self._pick_machines():
             machine = self.world.machines[name]
             machine.store_cut = True
-            after = self.source.uniform(0.5, 6.0)
-            self.world.after(after, lambda m=machine: setattr(m, "store_cut", False))
+            delay = self.rng.uniform(0.5, 6.0)
+            self.world.after(delay, lambda m=machine: setattr(m, "store_cut", False))
 
     def _cut_zone(self) -> None:
-        zone = f"zone-{self.source.randrange(ZONES)}"
+        zone = f"zone-{self.rng.randrange(ZONES)}"
         self.world.links.cut_zones.add(zone)
-        after = self.source.uniform(0.5, 5.0)
-        self.world.after(after, lambda: self.world.links.cut_zones.discard(zone))
+        delay = self.rng.uniform(0.5, 5.0)
+        self.world.after(delay, lambda: self.world.links.cut_zones.discard(zone))
 
     def _cut_links(self) -> None:
-        """Cut single machines off from all others."""
-        for name in self._some()[:3]:
+        """Cut the links of single machines to all others."""
+        for name in self._pick_machines()[:3]:
             machine = self.world.machines[name]
             machine.links_cut = True
-            after = self.source.uniform(0.5, 5.0)
-            self.world.after(after, lambda m=machine: setattr(m, "links_cut", False))
+            delay = self.rng.uniform(0.5, 5.0)
+            self.world.after(delay, lambda m=machine: setattr(m, "links_cut", False))
 
     def _reset_links(self) -> None:
-        """Break all links of some machines; they may be dialled anew at once."""
-        for name in self._some():
+        """Break all links of some machines; they may be dialled again at once."""
+        for name in self._pick_machines():
             for other in self.world.machines:
                 if other != name:
                     self.world.links.unlink(name, other)
 
     def _stop(self) -> None:
-        """Stop some machines on plan, one after the other, and start them again."""
-        for number, name in enumerate(self._some()):
+        """Perform planned stops of some machines, one delay the other, and restarts."""
+        for number, name in enumerate(self._pick_machines()):
             self.world.after(number * 0.7, lambda name=name: self._stop_one(name))
 
     def _stop_one(self, name: str) -> None:
@@ -121,34 +126,34 @@
             return
         life = machine.lives
         machine.core.stop()
-        self.world.after(2.6, lambda: self._end(name, life))
+        self.world.after(2.6, lambda: self._kill_if_same_life(name, life))
         self.world.after(3.2, lambda: self._start(name))
 
-    def _end(self, name: str, life: int) -> None:
+    def _kill_if_same_life(self, name: str, life: int) -> None:
         if self.world.machines[name].lives == life:
             self.world.kill(name)
 
     def _store_down(self) -> None:
         self.world.store.is_down = True
-        after = self.source.uniform(0.5, 6.0)
-        self.world.after(after, lambda: setattr(self.world.store, "is_down", False))
+        delay = self.rng.uniform(0.5, 6.0)
+        self.world.after(delay, lambda: setattr(self.world.store, "is_down", False))
 
-    def _lose(self) -> None:
+    def _lose_answers(self) -> None:
         """Lose answers of the store and of engines."""
-        self.world.store.lose_appends += self.source.randrange(2)
-        self.world.store.late_appends += self.source.randrange(2)
-        self.world.lose_orders += self.source.randrange(4)
+        self.world.store.lose_appends += self.rng.randrange(2)
+        self.world.store.late_appends += self.rng.randrange(2)
+        self.world.lose_orders += self.rng.randrange(4)
 
-    def _change(self) -> None:
+    def _change_configuration(self) -> None:
         self.version += 1
-        size = self.source.choice((1, 20_000))
+        size = self.rng.choice((1, 20_000))
         self.world.put_configuration(self.version, size)
 
 
 class FirstLeaderTests(unittest.TestCase):
-    """One that is no hub starts first, and leads before there are hubs."""
+    """An instance that is not a hub starts first, and leads before there are hubs."""
 
-    def test_hubs_take_over_from_a_leader_that_is_none(self) -> None:
+    def test_hub_takes_over_from_a_leader_that_is_not_a_hub(self) -> None:
         world = World(INSTANCES, 6, LeaseTiming(), zones=ZONES)
         for index, machine in enumerate(world.machines.values()):
             machine.capacity = 2.15 if index < HUBS else 0.52
@@ -171,7 +176,9 @@
 class ManyFaultsTests(unittest.TestCase):
     @settings(max_examples=12, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
-    @example(85)  # One that is no hub led, and only hubs could hear of it.
+    @example(
+        85
+    )  # The leader was not a hub, and only hubs could receive its heartbeats.
     def test_all_is_well_after_any_mix_of_faults(self, seed: int) -> None:
         day = ManyFaultsDay(seed).play()
         world = day.world
--- a/tests/test_many_limits.py
+++ b/tests/test_many_limits.py
@@ -1,7 +1,8 @@
-"""Upstreams that name limits, amid troubles of log, links, processes and the leader.
+"""Rate-limited upstreams, under faults of the log, links, processes and the leader.
 
-Whatever is cut off, killed, frozen or leads twice: the instances that know of a limit
-send no more than it allows, all together, and those in contact know of it.
+Whichever instances are disconnected, killed or frozen, and even with two leaders at
+once: the instances that know of a limit together send no more than it allows, and the
+instances in contact know of it.
 """
 
 import unittest
@@ -25,7 +26,7 @@
 from .world_requests import want
 
 LIMITED = 2
-"""Engines that name limits on a day; the first ones."""
+"""Number of engines that name limits in a run; these are the first ones."""
 ADAPTERS = 8
 LIMITS = (0.0, 0.5, 1.0, 1.2, 3.0, 6.0)
 FIRST_NAMED_S = 2.0
@@ -33,9 +34,10 @@
 REQUESTS_PER_STEP = 5
 WINDOW_S = 4.0
 KNOWN_FOR_S = 0.5
-"""So long an instance knows of a limit before its sends count."""
-OVER_RATE = 1.5
-OVER = 5
+"""How long an instance knows of a limit before its sends count."""
+RATE_TOLERANCE = 1.5
+COUNT_TOLERANCE = 5
+"""A window may have this factor of its limit, plus this number, before it fails."""
 ANSWERED_AFTER_S = 0.06
 SEEDS_OF_VARIANTS = (1, 6)
 
@@ -46,29 +48,29 @@
 
     Parameters
     ----------
-    counts : bool
-        Whether whoever sent it must keep to the limit.
+    must_comply : bool
+        Whether its sender has to comply with the limit.
     """
 
     at: float
     engine: str
-    counts: bool
+    must_comply: bool
 
 
 @dataclass
 class LimitsDay(ChangesDay):
-    """A day on which two engines name limits, which change and end."""
+    """A simulated run in which two engines name limits, change and remove them."""
 
     limit_by_engine: dict[str, float] = field(default_factory=dict)
     named_at: dict[str, float] = field(default_factory=dict)
-    """Since when an engine has named its present limit."""
+    """Since when an engine has named its current limit."""
     knows_since: dict[tuple[str, int, str], float] = field(default_factory=dict)
-    """Instance, its process, and the engine whose limit it knows."""
+    """By instance, number of its process, and engine: since when it knows the limit."""
     arrivals: list[Arrival] = field(default_factory=list)
-    passed: list[str] = field(default_factory=list)
-    """Windows in which more has arrived than a limit allows."""
-    windows: int = 0
-    asked: int = 0
+    violations: list[str] = field(default_factory=list)
+    """Windows with more arrivals than a limit allows."""
+    checked_windows: int = 0
+    requests_sent: int = 0
     next_change: float = 0.0
 
     def __post_init__(self) -> None:
@@ -77,7 +79,7 @@
         self.next_change = self.world.now + FIRST_NAMED_S
 
     def change(self) -> None:
-        """Write a change; engines that are limited stay."""
+        """Write a change, but keep the limited engines in service."""
         super().change()
         name = f"engine-{self.source.randrange(LIMITED)}"
         if not self.world.store.is_down:
@@ -86,12 +88,12 @@
     def _look(self) -> None:
         super()._look()
         self._change_limits()
-        self._note_who_knows()
+        self._record_who_knows()
         for _ in range(REQUESTS_PER_STEP):
             self._send()
 
     def _change_limits(self) -> None:
-        """Let the engines name other limits, or none, now and then."""
+        """Change or remove the engines' limits every `CHANGES_EVERY_S`."""
         if self.world.now < self.next_change:
             return
         self.next_change = self.world.now + CHANGES_EVERY_S
@@ -103,10 +105,10 @@
                 continue
             limit = self.source.choice(LIMITS)
             self.limit_by_engine[engine] = limit
-            # A lower one binds once all have had the time to hear of it.
+            # A lower limit is checked only once all have had the time to learn of it.
             self.named_at[engine] = self.world.now
 
-    def _note_who_knows(self) -> None:
+    def _record_who_knows(self) -> None:
         for name, machine in self.world.machines.items():
             for number in range(LIMITED):
                 engine = f"engine-{number}"
@@ -123,7 +125,7 @@
         machine = self.world.machines[name]
         if machine.core is None or machine.frozen:
             return
-        self.asked += 1
+        self.requests_sent += 1
         if self.source.random() < 0.3:
             self._send_plain(machine, machine.core)
             return
@@ -131,41 +133,41 @@
         answer.add_done_callback(self._placed(machine, machine.core))
 
     def _placed(self, machine: Machine, core: Core) -> Callable[[Future[Any]], None]:
-        """Return what is done once a request was given a place, or refused."""
+        """Return the callback for a request that has been placed or refused."""
 
         def arrive(answer: Future[Any]) -> None:
             target = answer.result()
             if not isinstance(target, Target):
                 return
             if machine.limits.of(target.upstream) is not None and not target.permitted:
-                # It is given back right before it would be sent.
+                # The instance returns the placement right before it would send.
                 return
-            self._arrive(machine, core, target.upstream)
+            self._record_arrival(machine, core, target.upstream)
 
         return arrive
 
     def _send_plain(self, machine: Machine, core: Core) -> None:
-        """Send a request that the leader does not place."""
+        """Send a request that needs no placement by the leader."""
         engine = f"engine-{self.source.randrange(LIMITED)}"
         if machine.limits.of(engine) is None:
-            self._arrive(machine, core, engine)
+            self._record_arrival(machine, core, engine)
             return
         wanted = PermitWanted(engine)
 
         def permitted(answer: Future[Permit]) -> None:
             if answer.result().granted and machine.core is core:
-                self._arrive(machine, core, engine)
+                self._record_arrival(machine, core, engine)
 
         wanted.answer.add_done_callback(permitted)
         machine.do(core, lambda: core.permits.ask(wanted))
 
-    def _arrive(self, machine: Machine, core: Core, engine: str) -> None:
+    def _record_arrival(self, machine: Machine, core: Core, engine: str) -> None:
         if engine not in {f"engine-{number}" for number in range(LIMITED)}:
             return
         if engine not in self.world.engines:
             return
         now = self.world.now
-        self.arrivals.append(Arrival(now, engine, self._counts(machine, engine)))
+        self.arrivals.append(Arrival(now, engine, self._must_comply(machine, engine)))
         limit = self.limit_by_engine.get(engine)
         asked_at = self.world.clock.monotonic()
 
@@ -179,7 +181,7 @@
 
         self.world.after(ANSWERED_AFTER_S, lambda: machine.do(core, answer))
 
-    def _counts(self, machine: Machine, engine: str) -> bool:
+    def _must_comply(self, machine: Machine, engine: str) -> bool:
         since = self.knows_since.get((machine.name, machine.lives, engine))
         if since is not None and self.world.now >= since + KNOWN_FOR_S:
             return True
@@ -192,7 +194,7 @@
     # What is checked
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass, and hold what has arrived against the limits."""
+        """Let time pass, and check the arrivals against the limits."""
         until = self.world.now + seconds
         while self.world.now < until:
             super().pass_time(0.1)
@@ -204,19 +206,22 @@
         for engine, named_at in self.named_at.items():
             if self.world.now - WINDOW_S < named_at + contact:
                 continue
-            found = sum(a.engine == engine and a.counts for a in self.arrivals)
-            most = OVER_RATE * self.limit_by_engine[engine] * WINDOW_S + OVER
-            self.windows += 1
-            if found > most:
-                said = f"{engine} at {self.world.now:.2f}: {found} of {most}"
-                self.passed.append(said)
+            arrived = sum(a.engine == engine and a.must_comply for a in self.arrivals)
+            allowed = (
+                RATE_TOLERANCE * self.limit_by_engine[engine] * WINDOW_S
+                + COUNT_TOLERANCE
+            )
+            self.checked_windows += 1
+            if arrived > allowed:
+                violation = f"{engine} at {self.world.now:.2f}: {arrived} of {allowed}"
+                self.violations.append(violation)
 
 
 class ManyLimitsTests(unittest.TestCase):
     def check(self, day: LimitsDay) -> None:
         day.play()
-        self.assertGreater(day.windows, 0)
-        self.assertEqual(day.passed[:3], [])
+        self.assertGreater(day.checked_windows, 0)
+        self.assertEqual(day.violations[:3], [])
 
     @settings(max_examples=12, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
@@ -225,34 +230,35 @@
 
     @settings(max_examples=4, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
-    @example(648)  # Twelve were cut off; each led alone, and sent one at once.
+    # Twelve disconnected instances each led alone, and each sent a request immediately.
+    @example(648)
     def test_many_instances_with_hubs(self, seed: int) -> None:
         self.check(LimitsDay(24, seed, 3))
 
 
 class BrokenVariantTests(unittest.TestCase):
-    """Each mechanism, broken on purpose: some of a few days must show it."""
+    """Disables one mechanism at a time: some of the seeded runs must detect it."""
 
     def is_caught(self) -> bool:
         for seed in SEEDS_OF_VARIANTS:
             day = LimitsDay(24, seed, 3)
             day.play()
-            if day.passed:
+            if day.violations:
                 return True
         return False
 
-    def test_the_days_find_nothing_in_what_is_whole(self) -> None:
+    def test_unmodified_code_has_no_violations(self) -> None:
         self.assertFalse(self.is_caught())
 
-    def test_a_leader_that_grants_whatever_is_asked(self) -> None:
+    def test_detects_a_leader_that_grants_everything(self) -> None:
         with mock.patch.object(Permits, "take", return_value=True):
             self.assertTrue(self.is_caught())
 
-    def test_an_instance_that_tells_nobody(self) -> None:
+    def test_detects_limits_that_are_not_relayed(self) -> None:
         with mock.patch.object(LimitNotices, "_tell_all"):
             self.assertTrue(self.is_caught())
 
-    def test_leaders_that_each_grant_the_whole(self) -> None:
+    def test_detects_leaders_that_each_grant_the_full_limit(self) -> None:
         with mock.patch.object(Shares, "share", return_value=1.0):
             self.assertTrue(self.is_caught())
 
