--- a/tests/test_order_patience.py
+++ b/tests/test_order_patience.py
@@ -1,4 +1,4 @@
-"""How long an engine's answer to an order is waited for."""
+"""Tests of the timeout for an engine's answer to an order."""
 
 import unittest
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 
 
 class _Engine:
-    """Answers orders after a set time, or lets the patience run out."""
+    """Answers orders after a set time, or not at all until the timeout."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
-        self.takes = 4 * MILLISECOND
+        self.answer_time = 4 * MILLISECOND
         self.silent = False
         self.waited: list[timedelta] = []
 
@@ -33,11 +33,11 @@
         may_send: Callable[[], bool],
     ) -> Steps[OrderReply]:
         yield from ()
-        lost = self.silent or self.takes > patience
-        waited = patience if lost else self.takes
+        timed_out = self.silent or self.answer_time > patience
+        waited = patience if timed_out else self.answer_time
         self.waited.append(waited)
         self._clock.advance(waited)
-        return OrderReply(OrderAnswer.UNKNOWN if lost else OrderAnswer.ACCEPTED)
+        return OrderReply(OrderAnswer.UNKNOWN if timed_out else OrderAnswer.ACCEPTED)
 
     def report(
         self, client: Client, upstream: str, patience: timedelta
@@ -58,7 +58,7 @@
         )
 
     def order(self, times: int = 1) -> timedelta:
-        """Send orders; return how long the last was waited for."""
+        """Send orders; return the time waited for the last answer."""
         load = Order("e", "127.0.0.1:1", OrderKind.LOAD, Adapter("base", "a1"), 0)
         for _ in range(times):
             self.done.clear()
@@ -67,21 +67,21 @@
                 self.loop.run_turn()
         return self.engine.waited[-1]
 
-    def test_an_unanswered_order_holds_up_others_for_a_moment_only(self) -> None:
+    def test_unanswered_order_delays_others_only_briefly(self) -> None:
         self.order(20)
         self.engine.silent = True
         self.assertEqual(self.order(), 80 * MILLISECOND)
 
-    def test_the_first_order_of_all_is_waited_for_no_longer_than_needed(self) -> None:
+    def test_first_order_has_a_short_timeout(self) -> None:
         self.engine.silent = True
         self.assertLessEqual(self.order(), 100 * MILLISECOND)
 
-    def test_an_engine_that_becomes_slow_is_given_more_time(self) -> None:
+    def test_timeout_adapts_to_an_engine_that_becomes_slow(self) -> None:
         self.order(20)
-        self.engine.takes = 200 * MILLISECOND
+        self.engine.answer_time = 200 * MILLISECOND
         self.assertEqual(self.order(15), 200 * MILLISECOND)
 
-    def test_a_few_lost_answers_among_many_change_little(self) -> None:
+    def test_occasional_lost_answers_hardly_change_the_timeout(self) -> None:
         for _ in range(20):
             self.order(2)
             self.engine.silent = True
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,8 +1,9 @@
-"""Upstreams that start again under the id that they had.
+"""Upstreams that restart under the same id.
 
-Symptom: an engine that had crashed and come back within a heartbeat passed for the one
-that it was before: requests went to it for adapters that it no longer held, and crashes
-of both lives counted as one. Cause: a life was told by its id alone.
+Fault: an engine that crashed and restarted within a heartbeat interval was taken for
+the same process. Requests for adapters that it no longer held were sent to it, and
+crashes of both incarnations counted as one, because the id alone identified an
+incarnation.
 """
 
 import json
@@ -37,32 +38,32 @@
     "models": [],
     "born": 1_776_000_000_000,
 }
-SOON = 1.5
-HELD = "a1"
+SETTLE_S = 1.5
+ADAPTER_NAME = "a1"
 
 
 def decoded(offset: int, **changed: object) -> Upstream:
-    """Return the upstream in an entry that differs in some fields."""
+    """Return the upstream of an entry with some fields changed."""
     value = json.dumps({**ENTRY, **changed}).encode()
     change = decode(Topic.UPSTREAMS, Record(offset, "id-1", value))
     assert isinstance(change, UpstreamPut)
     return change.upstream
 
 
-class LifeTests(unittest.TestCase):
-    def test_another_start_is_another_life(self) -> None:
+class IncarnationTests(unittest.TestCase):
+    def test_each_start_is_a_new_incarnation(self) -> None:
         first, again = decoded(1), decoded(2, born=ENTRY["born"] + 1)
         self.assertNotEqual(first.life, again.life)
         self.assertEqual(first.life, decoded(3).life)
 
-    def test_an_entry_without_a_start_is_named_by_its_id(self) -> None:
+    def test_entry_without_start_time_uses_the_id(self) -> None:
         entry = {name: value for name, value in ENTRY.items() if name != "born"}
         record = Record(1, "id-1", json.dumps(entry).encode())
         change = decode(Topic.UPSTREAMS, record)
         assert isinstance(change, UpstreamPut)
         self.assertEqual(change.upstream.life, "id-1")
 
-    def test_the_directory_tells_a_start_as_a_change(self) -> None:
+    def test_directory_reports_a_restart_as_a_change(self) -> None:
         directory = Directory()
         directory.put(decoded(1))
         before = directory.life_of("id-1")
@@ -76,7 +77,7 @@
         self.world = SchedulerWorld({"one": [1]})
 
     def restart(self) -> None:
-        """Let the engine start again, and its entry say so."""
+        """Restart the engine, and update its entry."""
         before = self.world.upstreams[0]
         self.world.upstreams[0] = Upstream(
             "one", SERVICE, before.address, "zone", slots=96, models=(MODEL,), born=7
@@ -92,14 +93,14 @@
             if isinstance(action, Placed)
         ]
 
-    def test_what_it_held_before_is_not_held_any_more(self) -> None:
+    def test_adapters_held_before_a_restart_are_gone(self) -> None:
         self.world.want(1)
         self.assertEqual(self.placed(), ["one"])
         self.restart()
         self.world.want(1)
         self.assertEqual(self.placed(), ["one"])
 
-    def test_it_is_asked_again_and_hubs_are_told_that_it_serves_nothing(self) -> None:
+    def test_restart_requests_a_report_and_tells_hubs_it_serves_nothing(self) -> None:
         self.restart()
         told = [item for item in self.world.actions if isinstance(item, Serving)]
         self.assertEqual(told[-1].held, {})
@@ -108,7 +109,7 @@
         asked = [item for item in self.world.actions if isinstance(item, AskReport)]
         self.assertEqual([item.upstream for item in asked], ["one"])
 
-    def test_a_report_of_another_start_takes_its_copies_for_gone(self) -> None:
+    def test_report_of_a_new_start_clears_known_copies(self) -> None:
         engine = self.world.scheduler.engines["one"]
         first = EngineReport(0, (MODEL,), (), {adapter(1): 1}, {}, False, 0, 0, born=5)
         self.world.scheduler.reported("one", first)
@@ -125,21 +126,23 @@
     def cores(self, world: World) -> list[Core]:
         return [m.core for m in world.machines.values() if m.core is not None]
 
-    def test_all_instances_forget_what_it_served_and_it_is_loaded_anew(self) -> None:
+    def test_all_instances_forget_residency_and_load_again(self) -> None:
         world = World(3, 1)
         world.start()
         world.run(4.0)
-        first = want(world, "instance-0", HELD)
-        self.assertTrue(world.run(SOON, first.done))
-        world.run(SOON)
+        first = want(world, "instance-0", ADAPTER_NAME)
+        self.assertTrue(world.run(SETTLE_S, first.done))
+        world.run(SETTLE_S)
         world.restart_engine("engine-0")
-        world.run(SOON)
+        world.run(SETTLE_S)
         for core in self.cores(world):
-            self.assertNotIn(Adapter(MODEL, HELD), core.residency.of("engine-0"))
-        second = want(world, "instance-0", HELD)
-        self.assertTrue(world.run(SOON * 2, second.done))
+            self.assertNotIn(
+                Adapter(MODEL, ADAPTER_NAME), core.residency.of("engine-0")
+            )
+        second = want(world, "instance-0", ADAPTER_NAME)
+        self.assertTrue(world.run(SETTLE_S * 2, second.done))
         self.assertIsInstance(second.result(), Target)
-        self.assertIn(HELD, world.engines["engine-0"].adapters)
+        self.assertIn(ADAPTER_NAME, world.engines["engine-0"].adapters)
         self.assertEqual(world.fallen(), [])
 
 
--- a/tests/test_restored_crashes.py
+++ b/tests/test_restored_crashes.py
@@ -25,8 +25,8 @@
         for offset, life in enumerate(LIVES):
             self.put(crash(life), 0, offset)
 
-    def put(self, said: Crash | Whole, era: int, offset: int) -> None:
-        self.quarantine.put(said.key, said, position(era, offset))
+    def put(self, record: Crash | Whole, era: int, offset: int) -> None:
+        self.quarantine.put(record.key, record, position(era, offset))
 
     def test_a_request_stays_held_back_if_the_copy_lacks_a_crash(self) -> None:
         for offset, life in enumerate(LIVES[:2]):
@@ -44,7 +44,7 @@
         self.assertTrue(self.quarantine.holds(REQUEST))
         self.assertEqual(self.quarantine.lost_records(), [crash("a", REQUEST, "other")])
 
-    def test_a_copied_whole_answer_does_not_clear_later_crashes(self) -> None:
+    def test_a_copied_complete_answer_does_not_clear_later_crashes(self) -> None:
         self.put(Whole(REQUEST), 0, 3)
         for offset, life in enumerate(LIVES, 4):
             self.put(crash(life, REQUEST, "other"), 0, offset)
@@ -75,14 +75,14 @@
         self.assertFalse(self.quarantine.holds(REQUEST))
         self.assertTrue(self.quarantine.holds("other"))
 
-    def test_a_cleared_request_stays_cleared_as_another_is_cut(self) -> None:
+    def test_a_cleared_request_stays_cleared_as_another_is_interrupted(self) -> None:
         self.put(Whole(REQUEST), 0, 3)
         for offset, life in enumerate(LIVES):
             self.put(crash(life, REQUEST, "other"), 1, offset)
         self.assertFalse(self.quarantine.holds(REQUEST))
         self.assertTrue(self.quarantine.holds("other"))
 
-    def test_a_whole_answer_is_lost_if_the_copy_has_an_older_one(self) -> None:
+    def test_a_complete_answer_is_lost_if_the_copy_has_an_older_one(self) -> None:
         self.put(Whole(REQUEST), 0, 3)
         for offset, life in enumerate(LIVES, 4):
             self.put(crash(life), 0, offset)
@@ -94,7 +94,7 @@
         self.put(Whole(REQUEST), 1, 5)
         self.assertEqual(self.quarantine.lost_records(), [])
 
-    def test_a_late_record_of_an_earlier_era_makes_nothing_lost(self) -> None:
+    def test_a_late_record_of_an_earlier_era_marks_nothing_as_lost(self) -> None:
         self.put(crash("d", REQUEST, "other"), 1, 5)
         self.put(crash("d", "other"), 0, 7)
         self.assertEqual(self.quarantine.lost_records(), [])
@@ -102,7 +102,7 @@
 
 class WorldTests(unittest.TestCase):
     def world_with_lost_crashes(self, instances: int) -> World:
-        """Return a world whose restored log lacks the crash records of a request."""
+        """Return a world in which a restored log lacks a request's crash records."""
         world = running(instances)
         snapshot = world.log.snapshot()
         for name, life in zip(world.machines, LIVES, strict=False):
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -1,4 +1,4 @@
-"""Upstreams that a restored log lists again after their records had ended."""
+"""Tests of upstreams that a restored log lists again after their records had ended."""
 
 import unittest
 from datetime import timedelta
@@ -56,7 +56,7 @@
         for listed in (upstream(position(0, 21)), upstream(position(1, 21))):
             self.assertFalse(self.hold_back(listed))
 
-    def test_later_life_is_not_held_back(self) -> None:
+    def test_later_incarnation_is_not_held_back(self) -> None:
         self.assertFalse(self.hold_back(upstream(position(1, 10), born=2)))
         self.assertTrue(self.hold_back(upstream(position(1, 10), born=1)))
 
