--- a/packages/ashhoist/src/ashhoist/control/__init__.py
+++ b/packages/ashhoist/src/ashhoist/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control task of an instance: what is in force, who is there, who orders."""
+"""The control plane of an instance: replication, membership, leases, scheduling."""
--- a/packages/ashhoist/src/ashhoist/control/agent.py
+++ b/packages/ashhoist/src/ashhoist/control/agent.py
@@ -1,4 +1,4 @@
-"""The requests of this instance that wait for adapters, and what runs where."""
+"""Asks the leader to place this instance's requests, and reports their engine use."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -23,23 +23,28 @@
 
 
 @dataclass(slots=True)
-class _News:
-    """What the leader has not been told yet."""
+class _UnsentChanges:
+    """Changes in the use of engines that the leader has not been sent yet."""
 
     began: list[list[object]] = field(default_factory=list)
     started: list[list[str]] = field(default_factory=list)
     ended: list[list[str]] = field(default_factory=list)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         return not (self.began or self.started or self.ended)
 
 
 class Agent:
-    """What this instance asks of the leader, and tells it.
+    """Client of the leader for the requests of this instance.
+
+    Keeps the requests that wait for an adapter and those running at engines, so that
+    a new leader can be sent all of them.
 
     Parameters
     ----------
+    zone : str
+        This instance's availability zone.
     tell_leader : callable
         Sends a message to the leader; does nothing while there is none.
     """
@@ -55,25 +60,25 @@
         self._directory = directory
         self._tell_leader = tell_leader
         self._clock = clock
-        self._open: dict[str, Wanted] = {}
-        self._under_way: dict[str, UseBegan] = {}
-        self._started: set[str] = set()
-        self._news = _News()
+        self._waiting: dict[str, Wanted] = {}
+        self._active_uses: dict[str, UseBegan] = {}
+        self._started_ids: set[str] = set()
+        self._unsent = _UnsentChanges()
 
-    # What requests of this instance want
+    # Requests of this instance that need an adapter
 
     def wanted(self, wanted: Wanted) -> None:
-        """Take in a request that needs an adapter."""
-        self._open[wanted.id] = wanted
+        """Ask the leader to place a request that needs an adapter."""
+        self._waiting[wanted.id] = wanted
         self._tell_leader(self._ask(wanted))
 
     def no_longer_wanted(self, message: NoLongerWanted) -> None:
-        """Take in that a request has ended while it waited."""
-        if self._open.pop(message.id, None) is not None:
+        """Withdraw a request that has ended while it was waiting."""
+        if self._waiting.pop(message.id, None) is not None:
             self._tell_leader(Withdraw(message.id))
 
     def _ask(self, wanted: Wanted) -> Ask:
-        """Return the message that asks for a request's adapter."""
+        """Return the message that asks the leader to place a request."""
         now = self._clock.monotonic()
         return Ask(
             wanted.id,
@@ -92,15 +97,17 @@
             list(wanted.tried),
         )
 
-    # What the leader says
+    # Responses of the leader
 
-    def granted(self, granted: Granted) -> None:
-        """Let a request go to the engine that the leader has chosen."""
-        wanted = self._open.pop(granted.id, None)
+    def handle_granted(self, granted: Granted) -> None:
+        """Send a request to the engine that the leader has chosen."""
+        wanted = self._waiting.pop(granted.id, None)
         upstream = self._directory.view.by_id.get(granted.upstream)
-        waits = wanted is not None and wanted.answer.set_running_or_notify_cancel()
-        if wanted is None or not waits:
-            # Nobody goes there after all; the leader counts on hearing so.
+        still_waits = (
+            wanted is not None and wanted.answer.set_running_or_notify_cancel()
+        )
+        if wanted is None or not still_waits:
+            # The request is gone, but the leader counts it at the engine until told.
             self.ended(UseEnded(granted.id, granted.upstream))
             return
         if upstream is None:
@@ -108,7 +115,7 @@
             wanted.answer.set_result(Refusal(Reason.NO_UPSTREAM))
             return
         use = UseBegan(granted.id, upstream.id, wanted.adapter, wanted.tokens)
-        self._under_way[use.id] = use
+        self._active_uses[use.id] = use
         version = granted.version or None
         expected = granted.expected_ms * MILLISECOND
         target = Target(
@@ -116,15 +123,15 @@
         )
         wanted.answer.set_result(target)
 
-    def waits(self, message: Waits) -> None:
-        """Take in that the leader knows of a request, and that it has to wait."""
-        wanted = self._open.get(message.id)
+    def handle_queued(self, message: Waits) -> None:
+        """Note that the leader has queued a request."""
+        wanted = self._waiting.get(message.id)
         if wanted is not None and not wanted.taken_in.done():
             wanted.taken_in.set_result(None)
 
-    def declined(self, declined: Declined) -> None:
-        """Refuse a request that the leader has given up on."""
-        wanted = self._open.pop(declined.id, None)
+    def handle_declined(self, declined: Declined) -> None:
+        """Refuse a request that the leader has declined."""
+        wanted = self._waiting.pop(declined.id, None)
         if wanted is None:
             return
         wait = declined.retry_after_ms * MILLISECOND
@@ -132,54 +139,54 @@
             wanted.answer.set_result(Refusal(_reason_of(declined.reason), wait))
 
     def greet_leader(self) -> None:
-        """Tell a new leader all that is under way and all that waits."""
+        """Send a new leader all uses of engines and all waiting requests."""
         self._tell_leader(self._all_uses())
-        for wanted in list(self._open.values()):
+        for wanted in list(self._waiting.values()):
             self._tell_leader(self._ask(wanted))
 
-    # What runs at engines
+    # Use of engines
 
     def began(self, use: UseBegan) -> None:
-        """Count a use that the leader does not know of yet."""
-        self._under_way[use.id] = use
-        self._news.began.append(_row(use))
+        """Record a use that was not granted by the leader."""
+        self._active_uses[use.id] = use
+        self._unsent.began.append(_use_row(use))
 
     def started(self, use: UseStarted) -> None:
-        """Take in that a request has its first event."""
-        self._started.add(use.id)
-        self._news.started.append([use.id, use.upstream])
+        """Record that a request has received its first event."""
+        self._started_ids.add(use.id)
+        self._unsent.started.append([use.id, use.upstream])
 
     def ended(self, use: UseEnded) -> None:
-        """Count the end of a use."""
-        self._under_way.pop(use.id, None)
-        self._started.discard(use.id)
-        self._news.ended.append([use.id, use.upstream, str(use.end)])
+        """Record the end of a use."""
+        self._active_uses.pop(use.id, None)
+        self._started_ids.discard(use.id)
+        self._unsent.ended.append([use.id, use.upstream, str(use.end)])
 
     def tell_uses(self) -> None:
-        """Tell the leader what has changed since the last time."""
-        if self._news.empty:
+        """Send the leader the changes since the last call."""
+        if self._unsent.is_empty:
             return
-        news, self._news = self._news, _News()
-        self._tell_leader(Uses(news.began, news.started, news.ended))
+        unsent, self._unsent = self._unsent, _UnsentChanges()
+        self._tell_leader(Uses(unsent.began, unsent.started, unsent.ended))
 
     def _all_uses(self) -> Uses:
-        """Return all that is under way, for a leader that knows nothing yet."""
-        self._news = _News()
-        began = [_row(use) for use in self._under_way.values()]
+        """Return all current uses, for a leader that knows none yet."""
+        self._unsent = _UnsentChanges()
+        began = [_use_row(use) for use in self._active_uses.values()]
         started = [
             [use.id, use.upstream]
-            for use in self._under_way.values()
-            if use.id in self._started
+            for use in self._active_uses.values()
+            if use.id in self._started_ids
         ]
         return Uses(began, started, [])
 
 
-def _row(use: UseBegan) -> list[object]:
+def _use_row(use: UseBegan) -> list[object]:
     return [use.id, use.upstream, use.adapter.model, use.adapter.name, use.tokens]
 
 
 def _reason_of(text: str) -> Reason:
-    """Return the reason of that name, or a general one."""
+    """Return the `Reason` with this value; `NO_UPSTREAM` if it is unknown."""
     try:
         return Reason(text)
     except ValueError:
--- a/packages/ashhoist/src/ashhoist/control/beats.py
+++ b/packages/ashhoist/src/ashhoist/control/beats.py
@@ -1,8 +1,9 @@
-"""When this instance gives which others a sign of life.
+"""Sends heartbeats to the other instances, at an interval that depends on the pair.
 
-What an instance decides by another's beats says how often it needs them: all follow
-the leader, hubs elect it and tell their zone what is new, and the leader watches
-who asks it. Between others a beat only keeps the link alive.
+The interval depends on what the receiver uses the heartbeats for. All instances follow
+the leader, hubs elect the leader and relay news to their zone, and the leader monitors
+the instances that send it requests. Between any other two instances a heartbeat only
+keeps the link alive.
 """
 
 from collections.abc import Callable
@@ -17,30 +18,31 @@
 from .peers import Peers
 
 READER_BEATS = timedelta(milliseconds=500)
-"""Of the leader, and of others that read the log, to all. Who relies on one that is
-lost notices after 2.4 times as long: 1.2 s of the 2 s that a change may take."""
-HUB_BEATS = timedelta(seconds=1)
-"""A hub's to all, who may have to follow it, and all others' within their zone."""
-FAR_BEATS = timedelta(milliseconds=2500)
-"""Of one that is no hub to hubs of other zones: nobody follows it."""
-CLAIMS_EVERY = timedelta(seconds=2)
-"""How often one is told claims that have not changed: well within a lease's term,
-so that nobody takes a lease for lapsed that was renewed."""
+"""From the leader, and from the other log readers, to all instances. The loss of one is
+noticed after 2.4 intervals: 1.2 s of the 2 s within which a change must take effect."""
+HUB_INTERVAL = timedelta(seconds=1)
+"""From a hub to all instances, since each may have to follow it as the leader; and from
+any other instance to those of its own zone."""
+REMOTE_INTERVAL = timedelta(milliseconds=2500)
+"""From an instance that is not a hub to hubs of other zones: it is never followed."""
+CLAIMS_INTERVAL = timedelta(seconds=2)
+"""Interval at which unchanged claims are sent again: well within the term of a lease,
+so that no instance considers a renewed lease expired."""
 
-MakeBeat = Callable[[timedelta, list[Claim]], Beat]
+MakeHeartbeat = Callable[[timedelta, list[Claim]], Beat]
 
 
 @dataclass(slots=True)
-class _Told:
-    """What one other instance was last told."""
+class _LastSent:
+    """What was last sent to another instance."""
 
-    at: timedelta
+    sent_at: timedelta
     claims: list[Claim]
-    claims_at: timedelta | None = None
+    claims_sent_at: timedelta | None = None
 
 
 class Beats:
-    """Sends this instance's beats, to each other instance at its pace.
+    """Sends the heartbeats of this instance to each other instance when they are due.
 
     Parameters
     ----------
@@ -49,9 +51,10 @@
     reads_itself : callable
         Returns whether this instance reads the log, so that others need not.
     claims : callable
-        Returns the newest claims that this instance knows.
+        Returns the newest lease claims known to this instance.
     make : callable
-        Takes the time until the next beat, and the claims to tell; returns the beat.
+        Takes the time until the next heartbeat and the claims to include; returns the
+        heartbeat.
     """
 
     def __init__(
@@ -63,7 +66,7 @@
         outside: Outside,
         reads_itself: Callable[[], bool],
         claims: Callable[[], list[Claim]],
-        make: MakeBeat,
+        make: MakeHeartbeat,
         clock: Clock,
     ) -> None:
         self._own = own
@@ -73,79 +76,80 @@
         self._outside = outside
         self._reads_itself = reads_itself
         self._claims = claims
-        self._make = make
+        self._make_heartbeat = make
         self._clock = clock
-        self._told: dict[str, _Told] = {}
+        self._last_sent: dict[str, _LastSent] = {}
 
     def send_due(self, leader: str | None) -> None:
-        """Send the beats that are due.
+        """Send the heartbeats that are due.
 
         Parameters
         ----------
         leader : str or None
-            The instance that schedules.
+            The current leader.
         """
         now = self._clock.monotonic()
         due = [
             name
             for name in self._peers.linked()
-            if name not in self._told
-            or now - self._told[name].at >= self._every(name, leader)
+            if name not in self._last_sent
+            or now - self._last_sent[name].sent_at >= self._interval(name, leader)
         ]
         self._send(due, leader)
 
     def send_all(self, leader: str | None) -> None:
-        """Tell all at once, as something has changed."""
+        """Send a heartbeat to all instances now, because the state has changed."""
         self._send(self._peers.linked(), leader)
 
     def greet(self, name: str, leader: str | None) -> None:
-        """Tell an instance that has just been linked."""
-        self._told.pop(name, None)
+        """Send the first heartbeat to an instance that has just been linked."""
+        self._last_sent.pop(name, None)
         self._send([name], leader)
 
     def _send(self, names: list[str], leader: str | None) -> None:
-        """Send beats; those that are alike are one object, and encoded once."""
+        """Send heartbeats; equal ones share an object, so that it is encoded once."""
         now = self._clock.monotonic()
         claims = self._claims()
         groups: dict[tuple[timedelta, bool], list[str]] = {}
         for name in names:
-            key = (self._every(name, leader), self._needs(name, claims, now))
+            key = (self._interval(name, leader), self._needs_claims(name, claims, now))
             groups.setdefault(key, []).append(name)
-        for (every, with_claims), receivers in groups.items():
-            beat = self._make(every, claims if with_claims else [])
+        for (interval, with_claims), receivers in groups.items():
+            heartbeat = self._make_heartbeat(interval, claims if with_claims else [])
             for name in receivers:
-                self._note(name, claims if with_claims else None, now)
-                self._outside.send_to(name, beat)
+                self._note_sent(name, claims if with_claims else None, now)
+                self._outside.send_to(name, heartbeat)
 
-    def _needs(self, name: str, claims: list[Claim], now: timedelta) -> bool:
-        """Return whether an instance should be told the claims now.
+    def _needs_claims(self, name: str, claims: list[Claim], now: timedelta) -> bool:
+        """Return whether to include the claims for an instance now.
 
-        Others than hubs learn of them in their own zone, and know none of their own.
+        Claims go to hubs and within the own zone. An instance that is not a hub makes
+        no claims and receives them within its zone.
         """
-        near = self._peers.by_name[name].zone == self._zone
-        if not (near or self._hubs.is_hub(name)):
+        same_zone = self._peers.by_name[name].zone == self._zone
+        if not (same_zone or self._hubs.is_hub(name)):
             return False
-        told = self._told.get(name)
-        if told is None or told.claims_at is None or told.claims != claims:
+        last = self._last_sent.get(name)
+        if last is None or last.claims_sent_at is None or last.claims != claims:
             return True
-        return now - told.claims_at >= CLAIMS_EVERY
+        return now - last.claims_sent_at >= CLAIMS_INTERVAL
 
-    def _note(self, name: str, claims: list[Claim] | None, now: timedelta) -> None:
-        told = self._told.setdefault(name, _Told(now, []))
-        told.at = now
+    def _note_sent(self, name: str, claims: list[Claim] | None, now: timedelta) -> None:
+        last = self._last_sent.setdefault(name, _LastSent(now, []))
+        last.sent_at = now
         if claims is not None:
-            told.claims = claims
-            told.claims_at = now
+            last.claims = claims
+            last.claims_sent_at = now
 
-    def _every(self, name: str, leader: str | None) -> timedelta:
-        """Return how often an instance is sent a beat."""
+    def _interval(self, name: str, leader: str | None) -> timedelta:
+        """Return the interval between heartbeats to an instance."""
         if leader == self._own or self._reads_itself():
             return READER_BEATS
         if name == leader or self._hubs.is_hub(self._own):
-            return HUB_BEATS
-        near = self._peers.by_name[name].zone == self._zone
-        return HUB_BEATS if near else FAR_BEATS
+            return HUB_INTERVAL
+        same_zone = self._peers.by_name[name].zone == self._zone
+        return HUB_INTERVAL if same_zone else REMOTE_INTERVAL
 
     def forget(self, name: str) -> None:
-        """Forget an instance that is no longer linked."""
-        self._told.pop(name, None)
+        """Remove the state of an instance that is no longer linked."""
+        self._last_sent.pop(name, None)
--- a/packages/ashhoist/src/ashhoist/control/changes.py
+++ b/packages/ashhoist/src/ashhoist/control/changes.py
@@ -1,4 +1,4 @@
-"""What records of the log change, in the product's own terms."""
+"""Changes that records of the log decode to."""
 
 from dataclasses import dataclass
 
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPut:
-    """A whole configuration."""
+    """A complete serving configuration."""
 
     configuration: ServingConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRefused:
-    """A record that is no acceptable configuration; what is in force stays.
+    """A record with an invalid configuration; the one in force stays in force.
 
     Parameters
     ----------
     why : str
-        Names the fields that are wrong, and none of their values.
+        Names the invalid fields, but never their values.
     """
 
     key: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionNamed:
-    """A version of an adapter that requests must now get."""
+    """The version of an adapter that requests must be served with from now on."""
 
     adapter: Adapter
     version: int
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRefused:
-    """A record of upstreams that names none: somebody else has written it.
+    """A record of the upstreams topic that is not valid: not written by an upstream.
 
     Parameters
     ----------
     why : str
-        Names the fields that are wrong, and none of their values.
+        Names the invalid fields, but never their values.
     """
 
     upstream_id: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEnded:
-    """An upstream has gone."""
+    """The record of an upstream has ended."""
 
     upstream_id: str
     offset: Position
--- a/packages/ashhoist/src/ashhoist/control/election.py
+++ b/packages/ashhoist/src/ashhoist/control/election.py
@@ -1,12 +1,13 @@
-"""Who schedules: the hub with the lowest rank among those heard of lately.
+"""Leader election: the hub with the lowest rank among those with recent heartbeats.
 
-Whoever leads goes on to, unless it is no hub: only hubs are linked to all, so the
-others would never hear of it, and would ask a hub that does not lead.
+A leader stays the leader while it is a hub. Only hubs are linked to all instances, so
+the others would never hear of a leader that is not a hub, and would send their requests
+to a hub that does not lead.
 
-Scheduling needs no exclusive right: orders go through the holder of a zone's
-lease, and each names the count at which alone it is valid. So two instances that
-schedule at once, on the two sides of a cut or for a moment, do no harm, and no
-store is needed to follow one that is lost.
+Scheduling needs no mutual exclusion: orders go through the holder of a zone's lease,
+and each names the only order sequence number at which it is valid. Two leaders at the
+same time, on the two sides of a network partition or for a moment, are therefore
+harmless, and a lost leader can be replaced without the store.
 """
 
 from datetime import timedelta
@@ -15,14 +16,14 @@
 from .hubs import Hubs
 from .peers import Peers
 
-FIRST_PATIENCE = timedelta(milliseconds=400)
-"""How long an instance that has just started listens before it leads."""
-LINK_PATIENCE = timedelta(milliseconds=1500)
-"""How long it does while it knows of hubs, but is linked to none yet."""
+LISTEN_BEFORE_LEADING = timedelta(milliseconds=400)
+"""How long a newly started instance listens for a leader before it may lead."""
+LISTEN_BEFORE_LINKED = timedelta(milliseconds=1500)
+"""The same for an instance that knows of hubs but is not linked to any yet."""
 
 
 class Election:
-    """Chooses the leader as one instance sees it.
+    """Chooses the leader from the point of view of one instance.
 
     Parameters
     ----------
@@ -35,40 +36,40 @@
         self._peers = peers
         self._hubs = hubs
         self._clock = clock
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
 
     def choose(self, leads: bool, stopping: bool) -> str | None:
-        """Return the leader, or None if nobody can be it yet.
+        """Return the leader, or None if no instance can lead yet.
 
         Parameters
         ----------
         leads, stopping : bool
-            What this instance does now.
+            Whether this instance currently leads, or is stopping.
         """
         fresh = self._peers.fresh(self._clock.monotonic())
         candidates = [peer for peer in fresh if not peer.stops]
         leading = [peer.name for peer in candidates if peer.leads]
         if leads and not stopping:
             leading.append(self._own)
-        best = self._lowest(leading) if leading else None
-        if best is not None and self._hubs.is_hub(best):
-            return best
+        best_leader = self._lowest(leading) if leading else None
+        if best_leader is not None and self._hubs.is_hub(best_leader):
+            return best_leader
         names = [peer.name for peer in candidates]
         if not stopping:
             names.append(self._own)
         if not names:
             return None
         lowest = self._lowest(names)
-        if best is not None and not self._hubs.is_hub(lowest):
-            return best
-        if lowest == self._own and not leads and self._is_new(bool(candidates)):
-            return best
+        if best_leader is not None and not self._hubs.is_hub(lowest):
+            return best_leader
+        if lowest == self._own and not leads and self._is_listening(bool(candidates)):
+            return best_leader
         return lowest
 
     def _lowest(self, names: list[str]) -> str:
         return min(names, key=self._hubs.order)
 
-    def _is_new(self, linked: bool) -> bool:
-        alone = self._hubs.all_linked or linked
-        patience = FIRST_PATIENCE if alone else LINK_PATIENCE
-        return self._clock.monotonic() - self._began < patience
+    def _is_listening(self, linked: bool) -> bool:
+        is_connected = self._hubs.all_linked or linked
+        listen_for = LISTEN_BEFORE_LEADING if is_connected else LISTEN_BEFORE_LINKED
+        return self._clock.monotonic() - self._started_at < listen_for
--- a/packages/ashhoist/src/ashhoist/control/gauges.py
+++ b/packages/ashhoist/src/ashhoist/control/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges that say how one instance sees the deployment."""
+"""Gauges of one instance's view of the deployment."""
 
 from datetime import timedelta
 
@@ -32,7 +32,7 @@
         self._services: set[str] = set()
 
     def measure(self, ready: bool) -> None:
-        """Set all gauges; `ready` is whether callers may be sent here."""
+        """Set all gauges; `ready` is whether this instance can serve callers."""
         now = self._clock.monotonic()
         scheduler = self._scheduling.scheduler
         waiting = len(scheduler.wants) if scheduler is not None else 0
@@ -49,7 +49,7 @@
             gauge("upstreams", len(view.of(service)), service)
 
     def _measure_lags(self, now: timedelta) -> None:
-        """Set how long ago each topic was read; the log's age is the greatest."""
+        """Set each topic's time since its last read, and the greatest as the log's."""
         lags: list[float] = []
         for topic in SHARED_TOPICS:
             lag = (now - self._records.knowledge.read_at(topic)).total_seconds()
--- a/packages/ashhoist/src/ashhoist/control/hubs.py
+++ b/packages/ashhoist/src/ashhoist/control/hubs.py
@@ -1,10 +1,10 @@
-"""Which instances are hubs, and which links an instance should have.
+"""Network topology: which instances are hubs, and which links an instance should have.
 
-Where instances are few, each links to each. Where they are many, that would cost
-more with every instance; then some of each availability zone are hubs. Every
-instance links to the hubs, the hubs to everybody, and only hubs schedule, read
-the log for the others and hold leases while there are any. All instances rank
-the hubs alike, so they agree on them without a word.
+A small deployment is a full mesh. In a large one the cost of a mesh would grow with
+every instance, so some instances of each availability zone are hubs: every instance
+links to the hubs and the hubs link to all. While there are hubs, only they schedule,
+read the log for the others and hold leases. All instances compute the same ranking, so
+they agree on the hubs without exchanging messages.
 """
 
 from collections.abc import Iterator
@@ -16,26 +16,27 @@
 from .peers import Peer, Peers, rank
 
 FULL_MESH = 17
-"""Up to so many instances each links to each, and all are hubs."""
+"""Up to this many instances form a full mesh, in which all are hubs."""
 HUBS_PER_ZONE = 2
-MOST_TRIED_PER_ZONE = 6
-"""Instances of a zone to link to while better ones can't be reached."""
-HOPED_FOR = timedelta(seconds=1)
-"""How long an instance that is not linked counts as one that will be."""
-SURPLUS_AFTER = timedelta(seconds=8)
-KEY = "leader"
+MAX_LINKS_PER_ZONE = 6
+"""Maximum number of a zone's instances to link to while the best are unreachable."""
+LINK_EXPECTED_FOR = timedelta(seconds=1)
+"""How long an instance without a link is still expected to get one."""
+SURPLUS_LINK_AGE = timedelta(seconds=8)
+"""Minimum age of a link that is closed as not needed."""
+RANK_KEY = "leader"
 
-HubOrder = tuple[bool, float, bytes]
+HubRank = tuple[bool, float, bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """What others know of this instance.
+    """Identity and address of this instance, as it introduces itself to others.
 
     Parameters
     ----------
     capacity : float
-        Processor cores it may use.
+        Processor cores that it may use.
     """
 
     name: str
@@ -45,40 +46,40 @@
 
 
 class Hubs:
-    """The hubs, as one instance sees them."""
+    """The hubs, from the point of view of one instance."""
 
     def __init__(self, own: Identity, peers: Peers, clock: Clock) -> None:
         self._own = own
         self._own_peer = Peer(own.name, own.zone, own.address, own.capacity)
         self._peers = peers
         self._clock = clock
-        self._revision = -1
-        self._found: frozenset[str] = frozenset()
+        self._cached_revision = -1
+        self._cached_names: frozenset[str] = frozenset()
 
     @property
     def all_linked(self) -> bool:
-        """Return whether instances are so few that each links to each."""
+        """Return whether there are so few instances that they form a full mesh."""
         return len(self._peers.by_name) < FULL_MESH
 
     def is_hub(self, name: str) -> bool:
-        """Return whether an instance is a hub now; this one may ask for itself."""
-        return self.all_linked or name in self._names()
+        """Return whether an instance, which may be this one, is currently a hub."""
+        return self.all_linked or name in self._hub_names()
 
-    def _names(self) -> frozenset[str]:
-        """Return the best instances of each zone that are linked, or this one."""
-        if self._revision != self._peers.revision:
-            self._revision = self._peers.revision
-            self._found = frozenset(self._find())
-        return self._found
+    def _hub_names(self) -> frozenset[str]:
+        """Return the best of each zone, among this instance and the linked ones."""
+        if self._cached_revision != self._peers.revision:
+            self._cached_revision = self._peers.revision
+            self._cached_names = frozenset(self._find_hubs())
+        return self._cached_names
 
-    def _find(self) -> Iterator[str]:
+    def _find_hubs(self) -> Iterator[str]:
         live = [peer for peer in self._peers.by_name.values() if _is_live(peer)]
         live.append(self._own_peer)
         by_zone: dict[str, list[Peer]] = {}
         for peer in live:
             by_zone.setdefault(peer.zone, []).append(peer)
         for peers in by_zone.values():
-            for peer in sorted(peers, key=_order)[:HUBS_PER_ZONE]:
+            for peer in sorted(peers, key=_zone_rank)[:HUBS_PER_ZONE]:
                 yield peer.name
 
     def _of_zone(self, zone: str) -> list[Peer]:
@@ -87,15 +88,15 @@
             found.append(self._own_peer)
         return found
 
-    def order(self, name: str) -> HubOrder:
-        """Return what instances are ranked by; the lowest leads."""
+    def order(self, name: str) -> HubRank:
+        """Return the sort key of an instance in the ranking; the lowest leads."""
         peer = self._own_peer
         if name != self._own.name:
             peer = self._peers.by_name.get(name) or Peer(name, "", "", 0.0)
-        return (not self.is_hub(name), *_order(peer))
+        return (not self.is_hub(name), *_zone_rank(peer))
 
-    def to_link(self) -> list[Endpoint]:
-        """Return the instances that there should be links to."""
+    def desired_links(self) -> list[Endpoint]:
+        """Return the instances that this one should be linked to."""
         if self.all_linked:
             chosen = list(self._peers.by_name.values())
         else:
@@ -108,59 +109,59 @@
         ]
 
     def surplus(self) -> list[str]:
-        """Return linked instances that there need be no link to any more.
+        """Return the linked instances whose links are no longer needed.
 
-        Two instances that are no hubs have nothing to tell each other; a link that
-        is young may be what the other side needs.
+        Two instances that are not hubs need no link. A young link is kept, because the
+        other side may need it.
         """
         if self.is_hub(self._own.name):
             return []
         now = self._clock.monotonic()
-        wanted = {endpoint.name for endpoint in self.to_link()}
+        wanted = {endpoint.name for endpoint in self.desired_links()}
         return [
             peer.name
             for peer in self._peers.by_name.values()
             if peer.linked
             and peer.name not in wanted
             and not self.is_hub(peer.name)
-            and now - peer.linked_at > SURPLUS_AFTER
+            and now - peer.linked_at > SURPLUS_LINK_AGE
         ]
 
-    def is_near(self, name: str) -> bool:
-        """Return whether this instance asks that one first for what it knows.
+    def is_preferred_source(self, name: str) -> bool:
+        """Return whether this instance pulls records from that one in preference.
 
-        Hubs ask any; others the hubs of their own zone, so that what is large
-        crosses to each zone but once or twice.
+        Hubs pull from any instance, others from instances of their own zone, so that
+        large records cross to each zone only once or twice.
         """
         if self.is_hub(self._own.name):
             return True
         peer = self._peers.by_name.get(name)
         return peer is not None and peer.zone == self._own.zone
 
-    def reads_first(self) -> bool:
-        """Return whether this instance is a hub if all that are registered run."""
+    def reads_at_start(self) -> bool:
+        """Return whether this instance is a hub provided all registered ones run."""
         if self.all_linked:
             return True
-        best = sorted(self._of_zone(self._own.zone), key=_order)[:HUBS_PER_ZONE]
+        best = sorted(self._of_zone(self._own.zone), key=_zone_rank)[:HUBS_PER_ZONE]
         return self._own_peer in best
 
     def linked_hubs(self) -> list[str]:
-        """Return the hubs that there are links to."""
+        """Return the hubs that this instance is linked to."""
         return [name for name in self._peers.linked() if self.is_hub(name)]
 
     def nearest(self) -> str | None:
-        """Return the linked hub to ask first: of the own zone, if there is one."""
+        """Return the linked hub to ask first, preferably one of the own zone."""
         now = self._clock.monotonic()
         fresh = [peer for peer in self._peers.fresh(now) if self.is_hub(peer.name)]
         found = min(
             fresh,
-            key=lambda peer: (peer.zone != self._own.zone, _order(peer)),
+            key=lambda peer: (peer.zone != self._own.zone, _zone_rank(peer)),
             default=None,
         )
         return None if found is None else found.name
 
     def members(self) -> list[str]:
-        """Return the linked instances that ask this hub; none if it is no hub."""
+        """Return the linked instances of this hub's zone; none if it is not a hub."""
         if self.all_linked or not self.is_hub(self._own.name):
             return []
         return [
@@ -170,36 +171,36 @@
         ]
 
     def others_to_tell(self, teller: str) -> list[str]:
-        """Return the members to which this hub passes on what an instance has told."""
+        """Return the members to which this hub forwards a message of `teller`."""
         return [name for name in self.members() if name != teller]
 
     def _to_link_of(self, zone: str) -> list[Peer]:
-        """Return the best of a zone, and the next while these can't be reached."""
+        """Return the best of a zone, and the next best while those are unreachable."""
         now = self._clock.monotonic()
         chosen: list[Peer] = []
-        counted = 0
-        for peer in sorted(self._of_zone(zone), key=_order):
-            if counted >= HUBS_PER_ZONE or len(chosen) >= MOST_TRIED_PER_ZONE:
+        reachable = 0
+        for peer in sorted(self._of_zone(zone), key=_zone_rank):
+            if reachable >= HUBS_PER_ZONE or len(chosen) >= MAX_LINKS_PER_ZONE:
                 break
             if peer is self._own_peer:
-                counted += 1
+                reachable += 1
                 continue
             chosen.append(peer)
-            counted += self._counts(peer, now)
+            reachable += self._counts_as_reachable(peer, now)
         return chosen
 
-    def _counts(self, peer: Peer, now: timedelta) -> bool:
+    def _counts_as_reachable(self, peer: Peer, now: timedelta) -> bool:
         if peer.linked:
             return not peer.stops
         if peer.unlinked_since is None:
             peer.unlinked_since = now
-        return now - peer.unlinked_since < HOPED_FOR
+        return now - peer.unlinked_since < LINK_EXPECTED_FOR
 
 
 def _is_live(peer: Peer) -> bool:
     return peer.linked and not peer.stops
 
 
-def _order(peer: Peer) -> tuple[float, bytes]:
-    """Return the order of instances within a zone: the largest come first."""
-    return (-peer.capacity, rank(KEY, peer.name))
+def _zone_rank(peer: Peer) -> tuple[float, bytes]:
+    """Return the sort key of an instance within its zone: the largest come first."""
+    return (-peer.capacity, rank(RANK_KEY, peer.name))
--- a/packages/ashhoist/src/ashhoist/control/knowledge.py
+++ b/packages/ashhoist/src/ashhoist/control/knowledge.py
@@ -1,7 +1,8 @@
-"""What instances tell each other of the log, for those that can't read it.
+"""Each instance's replica of the shared topics of the log.
 
-Each keeps the newest record of each key as it was read. Beats say how far an
-instance is; one that stays behind asks a peer for what it lacks.
+The replica has the newest record of each key. Heartbeats carry the position of an
+instance's replica; an instance that stays behind pulls the missing records from a peer,
+so that it is kept up to date even where it can't read the log.
 """
 
 from dataclasses import dataclass, field
@@ -12,24 +13,27 @@
 
 SHARED_TOPICS = (Topic.CONFIGURATION, Topic.UPSTREAMS, Topic.CRASHES)
 NEEDED_TOPICS = (Topic.CONFIGURATION, Topic.UPSTREAMS)
-"""Without these nothing can be served. The others are empty for most of the time, and
-peers have nothing to tell of what is empty."""
-FAR_PATIENCE = timedelta(milliseconds=150)
-"""So long a nearer peer may still come before one of another zone is asked."""
+"""Topics without which nothing can be served. The others are empty most of the time,
+and peers relay nothing for an empty topic."""
+OTHERS_AFTER = timedelta(milliseconds=150)
+"""Time for a preferred peer to turn up before records are pulled from any other."""
 PULL_PAUSE = timedelta(milliseconds=400)
-"""Between two questions, or two reads of the log, while an instance is behind."""
-PULL_PATIENCE = timedelta(milliseconds=600)
-"""How long an instance may be behind its peers before it reads the log itself."""
+"""Minimum time between two pulls, or two reads of the log, of a replica behind."""
+READ_LOG_AFTER = timedelta(milliseconds=600)
+"""How long a replica may be behind those of peers before the log itself is read."""
 MOST_RELAYED = 2000
+"""Maximum number of records in one answer to a pull."""
 NOT_WHOLE = Position(-1)
-"""How far a topic is known of which only some keys are."""
-EMPTY = Position(-2)
-"""How far a topic is known, whole, in which nothing was ever written."""
+"""Known position of a topic of which only some keys are known."""
+EMPTY_TOPIC = Position(-2)
+"""Known position of a complete topic that was never written to."""
 
 
 @dataclass(slots=True)
 class _TopicState:
-    """What is known of one topic.
+    """Replica of one topic.
+
+    Records come from reads of the log and from peers; "received" means either.
 
     Parameters
     ----------
@@ -37,14 +41,20 @@
         Position of the newest record that changed something, or that was the first of
         its key in an era.
     seen : Position
-        How far the topic was read, or told, without a gap.
+        Position up to which the topic was received without a gap.
     whole : bool
-        Whether all keys were read, or told, once. Who knows but some of them must
-        not pass for one that knows all, here or to others.
+        Whether all keys were received once. A replica that lacks keys must not be
+        treated as complete, here or by peers.
     era : int or None
-        The latest era that was read, or told; None before the first.
+        Latest era received; None before the first.
     era_since : timedelta
-        When `era` was first known here.
+        When `era` first became known here.
+    read_at : timedelta
+        When the log itself was last read.
+    behind_since : timedelta or None
+        Since when a peer has been ahead; None if none is.
+    pulled_at, log_asked_at : timedelta or None
+        When a peer was last asked, and the log last read, in order to catch up.
     """
 
     by_key: dict[str, Record] = field(default_factory=dict)
@@ -56,54 +66,54 @@
     read_at: timedelta = ZERO
     behind_since: timedelta | None = None
     pulled_at: timedelta | None = None
-    looked_at: timedelta | None = None
+    log_asked_at: timedelta | None = None
 
 
 class Knowledge:
-    """The newest records of the shared topics, and who is ahead."""
+    """Replica of the shared topics, and how far it is behind those of peers."""
 
     def __init__(self) -> None:
         self._topics = {topic: _TopicState() for topic in SHARED_TOPICS}
 
     def offset(self, topic: Topic) -> Position:
-        """Return the position of the newest record that was kept."""
+        """Return the position of the newest record kept."""
         return self._topics[topic].offset
 
     def seen(self, topic: Topic) -> Position:
-        """Return how far a topic was read, or told."""
+        """Return the position up to which a topic was received without a gap."""
         return self._topics[topic].seen
 
     def see(self, topic: Topic, offset: Position) -> None:
-        """Note that a topic was read, or told, up to an offset."""
+        """Record that a topic was received up to an offset."""
         state = self._topics[topic]
         state.seen = max(state.seen, offset)
 
     def told_to(self, topic: Topic) -> Position:
-        """Return up to which offset nothing need be read; -1 if all must be."""
+        """Return the offset after which to read the log; -1 to read all of it."""
         state = self._topics[topic]
         return state.seen if state.whole else NOT_WHOLE
 
     def known_to(self, topic: Topic) -> Position:
-        """Return up to which offset all changes are known here.
+        """Return the offset up to which all changes are known here.
 
-        `NOT_WHOLE` if not all are, `EMPTY` if there are none.
+        `INCOMPLETE` if some keys are missing, `EMPTY_TOPIC` if there are no records.
         """
         state = self._topics[topic]
         if not state.whole:
             return NOT_WHOLE
         known = min(state.offset, state.seen)
-        return EMPTY if known < 0 else known
+        return EMPTY_TOPIC if known < 0 else known
 
     def is_whole(self, topic: Topic) -> bool:
         """Return whether all keys of a topic are known."""
         return self._topics[topic].whole
 
-    def note_whole(self, topic: Topic) -> None:
-        """Note that all keys of a topic were read, or told."""
+    def note_complete(self, topic: Topic) -> None:
+        """Record that all keys of a topic were received."""
         self._topics[topic].whole = True
 
     def note_era(self, topic: Topic, era: int, now: timedelta) -> bool:
-        """Note the era of a topic; return whether it is later than a known one."""
+        """Record the era of a topic; return whether a known era was superseded."""
         state = self._topics[topic]
         before = state.era
         if before is not None and era <= before:
@@ -117,23 +127,24 @@
         return self._topics[topic].era or 0
 
     def era_since(self, topic: Topic) -> timedelta:
-        """Return when the latest era of a topic was first known here."""
+        """Return when the latest era of a topic first became known here."""
         return self._topics[topic].era_since
 
     def note_empty(self, topic: Topic) -> None:
-        """Note that a peer that knows a whole topic has found nothing in it."""
+        """Record that a peer with a complete replica of a topic has found it empty."""
         if self._topics[topic].seen < 0:
-            self.note_whole(topic)
+            self.note_complete(topic)
 
     def offsets(self) -> dict[str, int]:
-        """Return for each topic up to which offset all changes are known here."""
+        """Return, for each topic, the offset up to which all changes are known here."""
         return {str(topic): self.known_to(topic) for topic in self._topics}
 
     def is_news(self, topic: Topic, record: Record) -> bool:
-        """Return whether a record may be newer than what is known of its key.
+        """Return whether a record may be newer than the known one of its key.
 
         A record of an earlier era may be newer than a known one of a later era, unless
-        the known one has the higher offset: the known one may be a copy.
+        the known one has the higher offset: the known one may come from the copy that
+        the log was restored from.
         """
         known = self._topics[topic].by_key.get(record.key)
         if known is None or known.offset < record.offset:
@@ -143,13 +154,13 @@
         return not supersedes(known.offset, record.offset)
 
     def keep(self, topic: Topic, record: Record) -> None:
-        """Keep a record that has changed something, for those that lack it."""
+        """Keep a record that has changed something, so that peers can pull it."""
         state = self._topics[topic]
         state.by_key[record.key] = record
         state.offset = max(state.offset, record.offset)
 
     def update_position(self, topic: Topic, record: Record) -> bool:
-        """Keep the known value of a key at the position of its record in a later era.
+        """Move the known value of a key to the position of its record in a later era.
 
         Returns
         -------
@@ -163,7 +174,7 @@
         return True
 
     def reached(self, topic: Topic, offset: Position, now: timedelta) -> None:
-        """Note that the log was read up to an offset."""
+        """Record that the log was read up to an offset."""
         self.see(topic, offset)
         state = self._topics[topic]
         state.read_at = now
@@ -174,7 +185,7 @@
         return self._topics[topic].read_at
 
     def after(self, topic: Topic, offset: Position) -> list[Record]:
-        """Return the newest records of all keys behind an offset, in order."""
+        """Return the newest records with an offset after the given one, in order."""
         found = [
             record
             for record in self._topics[topic].by_key.values()
@@ -183,8 +194,10 @@
         found.sort(key=lambda record: record.offset)
         return found[:MOST_RELAYED]
 
-    def note_peer(self, topic: Topic, peer_offset: Position, now: timedelta) -> bool:
-        """Take in how far a peer is; return whether this instance is behind it."""
+    def note_peer_position(
+        self, topic: Topic, peer_offset: Position, now: timedelta
+    ) -> bool:
+        """Process the position of a peer; return whether this instance is behind it."""
         state = self._topics[topic]
         if peer_offset <= state.seen:
             state.behind_since = None
@@ -194,16 +207,16 @@
         return True
 
     def pull_due(self, topic: Topic, near: bool, now: timedelta) -> bool:
-        """Return whether to ask a peer that knows more; it counts as asked.
+        """Return whether to pull from a peer that is ahead; if so, note the pull.
 
         Parameters
         ----------
         near : bool
-            Whether it is a peer to ask first.
+            Whether the peer is a preferred one; see `Hubs.is_preferred_source`.
         """
         state = self._topics[topic]
         assert state.behind_since is not None
-        if not near and now - state.behind_since < FAR_PATIENCE:
+        if not near and now - state.behind_since < OTHERS_AFTER:
             return False
         if state.pulled_at is not None and now - state.pulled_at < PULL_PAUSE:
             return False
@@ -211,20 +224,20 @@
         return True
 
     def read_due(self, topic: Topic, now: timedelta) -> bool:
-        """Return whether to read the log, as peers have not helped."""
+        """Return whether to read the log, as pulls have not helped; note the read."""
         state = self._topics[topic]
         assert state.behind_since is not None
-        if now - state.behind_since < PULL_PATIENCE:
+        if now - state.behind_since < READ_LOG_AFTER:
             return False
-        if state.looked_at is not None and now - state.looked_at < PULL_PAUSE:
+        if state.log_asked_at is not None and now - state.log_asked_at < PULL_PAUSE:
             return False
-        state.looked_at = now
+        state.log_asked_at = now
         return True
 
     def drop_ended(
         self, topic: Topic, now_listed: set[str], end: Position
     ) -> list[Record]:
-        """Mark keys missing from a whole list as ended; return the end records.
+        """Mark keys missing from a complete list as ended; return the end records.
 
         The list is as of `end`, and the end records are at the offset before it. Keys
         last recorded in an earlier era are kept, because the restore may have lost
--- a/packages/ashhoist/src/ashhoist/control/membership.py
+++ b/packages/ashhoist/src/ashhoist/control/membership.py
@@ -1,7 +1,7 @@
-"""Which other instances there are, and with which of them there should be links.
+"""Instance discovery, and the choice of which instances to link to.
 
-The register on the log names all. One that can't read it asks its seeds, and
-whoever is linked tells one that knows fewer.
+All instances are registered on the log. An instance that can't read the register
+connects to its seeds, and linked instances send their list to one that knows fewer.
 """
 
 from datetime import timedelta
@@ -13,20 +13,20 @@
 from .outside import Outside
 from .peers import InstanceRecord, Peers
 
-REGISTER_AGAIN = timedelta(seconds=2)
-"""After so long without an answer of the log an instance registers once more."""
+REGISTER_INTERVAL = timedelta(seconds=2)
+"""Interval at which an instance registers again until the log has answered."""
 
 RECENT_REGISTRATION = timedelta(seconds=30)
-"""Registrations within this time before a restore may be missing from the copy."""
+"""A registration this recent may be missing from the copy that a restore used."""
 
 
 class Membership:
-    """The instances that this one knows of.
+    """The instances known to this one, and its links to them.
 
     Parameters
     ----------
     seeds : tuple of str
-        Addresses to ask while no instance is linked.
+        Addresses to connect to while no instance is linked.
     """
 
     def __init__(
@@ -44,28 +44,28 @@
         self._hubs = hubs
         self._outside = outside
         self._clock = clock
-        self._register_at = ZERO
+        self._next_registration_at = ZERO
         self._registered_at = ZERO
-        self._links: tuple[tuple[str, ...], bool] = ((), False)
+        self._requested_links: tuple[tuple[str, ...], bool] = ((), False)
         self.knows_others = False
 
     # The register
 
     def register_if_due(self) -> None:
-        """Register, unless the register has been read."""
+        """Register, unless the log has already confirmed the registration."""
         now = self._clock.monotonic()
-        if self.knows_others or now < self._register_at:
+        if self.knows_others or now < self._next_registration_at:
             return
-        self._register_at = now + REGISTER_AGAIN
+        self._next_registration_at = now + REGISTER_INTERVAL
         self._outside.register()
 
     def registered(self, records: list[InstanceRecord]) -> None:
-        """Take in that this instance is registered, and which others are."""
+        """Process the list of registered instances, now that this one is registered."""
         if not self.knows_others:
             self._registered_at = self._clock.monotonic()
         self.knows_others = True
         for record in records:
-            self._peers.registered(record)
+            self._peers.add_registered(record)
         self.relink()
 
     def log_restored(self) -> None:
@@ -76,22 +76,22 @@
             self._outside.register()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take in which instances to ask while none is linked."""
+        """Set the addresses to connect to while no instance is linked."""
         self._seeds = seeds
         self.relink()
 
     # Links
 
     def relink(self) -> None:
-        """Say which links there should be, if that has changed."""
-        endpoints = self._hubs.to_link()
+        """Request the links that there should be, if these have changed."""
+        endpoints = self._hubs.desired_links()
         if not self._peers.linked():
             endpoints += self._unknown_seeds(endpoints)
         addresses = tuple(sorted(endpoint.address for endpoint in endpoints))
         dials_all = not self._hubs.is_hub(self._own.name)
-        if (addresses, dials_all) == self._links:
+        if (addresses, dials_all) == self._requested_links:
             return
-        self._links = (addresses, dials_all)
+        self._requested_links = (addresses, dials_all)
         self._outside.link(endpoints, dials_all)
 
     def _unknown_seeds(self, known: list[Endpoint]) -> list[Endpoint]:
@@ -102,43 +102,43 @@
             if address not in addresses
         ]
 
-    # What instances tell each other
+    # Messages between instances
 
     def introduce(self, peer: str) -> None:
-        """Tell an instance that was just linked who is here."""
+        """Introduce this instance to one that was just linked."""
         own = self._own
-        introduce = messages.Introduce(
+        introduce = messages.Introduction(
             own.name, own.zone, own.address, own.capacity, self.knows_others
         )
         self._outside.send_to(peer, introduce)
 
-    def introduced(self, peer: str, message: messages.Introduce) -> None:
-        """Take in who is at the other end of a link."""
+    def handle_introduction(self, peer: str, message: messages.Introduction) -> None:
+        """Process the introduction of a linked instance."""
         record = InstanceRecord(
             message.name, message.zone, message.address, message.capacity
         )
-        self._peers.introduced(record, self._clock.monotonic())
+        self._peers.update_introduced(record, self._clock.monotonic())
         if not message.knows_others:
-            self.asked(peer)
+            self.send_instance_list(peer)
 
-    def asked(self, peer: str) -> None:
-        """Tell an instance which ones are known here."""
-        self._outside.send_to(peer, messages.Instances(self._peers.rows()))
+    def send_instance_list(self, peer: str) -> None:
+        """Send an instance the list of instances known here."""
+        self._outside.send_to(peer, messages.InstanceList(self._peers.rows()))
 
-    def told(self, message: messages.Instances) -> None:
-        """Take in who is there from an instance that knows; the register knows best."""
+    def handle_instance_list(self, message: messages.InstanceList) -> None:
+        """Process another instance's list; entries of the register take precedence."""
         for row in message.rows:
             record = InstanceRecord(*row)
             if self.knows_others and record.name in self._peers.by_name:
                 continue
-            self._peers.registered(record)
+            self._peers.add_registered(record)
         self.relink()
 
     def compare(self, peer: str, known_there: int) -> None:
-        """Ask a peer that knows more instances, while each should link to each.
+        """Request a peer's instance list if it is longer, while in a full mesh.
 
-        Who started early has read of few. Where there are many by now, it would
-        go on with links to all of those few.
+        An instance that started early has read of few others. Without the list it would
+        keep links to all of these even when there are many instances by now.
         """
         if self._hubs.all_linked and known_there > len(self._peers.by_name):
-            self._outside.send_to(peer, messages.AskInstances())
+            self._outside.send_to(peer, messages.InstanceListRequest())
--- a/packages/ashhoist/src/ashhoist/control/messages/__init__.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/__init__.py
@@ -1,6 +1,6 @@
-"""Messages between the instances of a platform, grouped by subject."""
+"""Messages between the instances of a deployment, grouped by subject."""
 
-from .membership import AskInstances, Beat, Instances, Introduce
+from .membership import Beat, InstanceList, InstanceListRequest, Introduction
 from .notices import CrashesSeen, Leaving, WriteCrash
 from .orders import (
     AppendClaimFor,
@@ -19,15 +19,15 @@
     ReturnTokens,
     TokensDrawn,
 )
-from .records import Announce, AskProof, Proven, Pull, Relay
+from .records import AskProof, LargeRecordsNotice, Proven, Pull, Relay
 from .requests import Ask, Declined, Granted, Uses, Waits, Withdraw
 from .residency import Holds, HoldsChanged, Locate, Located
 
 __all__ = [
-    "Announce",
+    "LargeRecordsNotice",
     "AppendClaimFor",
     "Ask",
-    "AskInstances",
+    "InstanceListRequest",
     "AskPermit",
     "AskProof",
     "Beat",
@@ -41,8 +41,8 @@
     "Granted",
     "Holds",
     "HoldsChanged",
-    "Instances",
-    "Introduce",
+    "InstanceList",
+    "Introduction",
     "LeaveShare",
     "Leaving",
     "LimitsNamed",
--- a/packages/ashhoist/src/ashhoist/control/messages/membership.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/membership.py
@@ -7,15 +7,15 @@
 
 @message(40)
 @dataclass(frozen=True, slots=True)
-class Introduce:
-    """The first message on a link: who is there, and where it is reached.
+class Introduction:
+    """First message on a link: the sender's identity and address.
 
     Parameters
     ----------
     capacity : float
-        Processor cores it may use.
+        Processor cores that the sender may use.
     knows_others : bool
-        Whether it has read which instances there are.
+        Whether the sender has read the list of registered instances.
     """
 
     name: str
@@ -27,19 +27,19 @@
 
 @message(59)
 @dataclass(frozen=True, slots=True)
-class AskInstances:
-    """Ask which instances the receiver knows: it has said that it knows more."""
+class InstanceListRequest:
+    """Request the instance list of a receiver that has reported a longer one."""
 
 
 @message(44)
 @dataclass(frozen=True, slots=True)
-class Instances:
-    """All instances that the sender knows, for one that knows fewer.
+class InstanceList:
+    """All instances known to the sender, for a receiver that knows fewer.
 
     Parameters
     ----------
     rows : list
-        Lists of name, zone, address and capacity.
+        One ``[name, zone, address, capacity]`` list per instance.
     """
 
     rows: list
@@ -48,37 +48,37 @@
 @message(41)
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """Sign of life, with how much the sender has read.
+    """Heartbeat with the sender's replication progress.
 
     Parameters
     ----------
     reads_for_ms : int
-        How long the log's last answers to the sender count from now on, in
-        milliseconds; 0 if it does not read, or an answer is overdue.
+        Milliseconds from now for which the sender still counts as a reader of the
+        log; 0 if it does not read the log or an answer of the log is overdue.
     configuration : int
-        Version in force at the sender.
+        Configuration version in force at the sender.
     offsets : dict
-        By topic, the offset of the newest record that the sender knows.
+        Per topic, the offset of the newest record known to the sender.
     leads : bool
-        Whether the sender schedules.
+        Whether the sender is the leader, that is, schedules.
     epoch : int
-        Rises with each instance that begins to schedule.
+        Scheduling epoch; incremented by each instance that becomes the leader.
     claims : list
-        The newest claims it knows, as lists: key, holder, life, fence, offset,
-        released, before.
+        Newest lease claims known to the sender, each as the list
+        ``[key, holder, life, fence, offset, released, before]``.
     every_ms : int
-        When the next beat follows.
+        Milliseconds until the sender's next heartbeat.
     instances : int
-        How many other instances the sender knows.
+        Number of other instances known to the sender.
     sent_at : int
-        The sender's steady clock, in microseconds. It means nothing to others, who
-        only tell it back.
+        The sender's monotonic clock, in microseconds. Receivers can't interpret it;
+        they only send it back.
     tight : list
-        Names of the customers that are close to their limit; the leader knows.
+        Names of the customers that are close to their limit, as the leader sees it.
     """
 
     stopping: bool
-    reads_for_ms: int
+    reader_for_ms: int
     leads: bool
     epoch: int
     configuration: int
@@ -91,5 +91,5 @@
 
     @property
     def reads_log(self) -> bool:
-        """Return whether the log has answered the sender lately."""
-        return self.reads_for_ms > 0
+        """Return whether the log has recently answered the sender."""
+        return self.reader_for_ms > 0
--- a/packages/ashhoist/src/ashhoist/control/messages/notices.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/notices.py
@@ -1,4 +1,4 @@
-"""Messages about leaving upstreams and about requests that crash upstreams."""
+"""Messages about departing upstreams and about requests that crash upstreams."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,12 @@
 @message(71)
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """Upstreams that have said in answers that they leave.
+    """Upstreams that have announced in a response that they are leaving.
 
     Parameters
     ----------
     rows : list
-        Lists of id and life.
+        One ``[id, life]`` list per upstream.
     """
 
     rows: list
@@ -22,9 +22,9 @@
 @message(70)
 @dataclass(frozen=True, slots=True)
 class WriteCrash:
-    """Ask to write a record of requests that were cut off.
+    """Ask the receiver to write a record of requests that a crash cut off.
 
-    The log has turned the sender away. Writing it twice does no harm.
+    Sent when the log has rejected the sender. Writing the record twice is harmless.
     """
 
     key: str
@@ -34,13 +34,13 @@
 @message(72)
 @dataclass(frozen=True, slots=True)
 class CrashesSeen:
-    """Requests that were cut off, as the log may not say yet.
+    """Requests cut off by crashes, which may not be on the log yet.
 
     Parameters
     ----------
     rows : list
-        Lists of an upstream's life, the instance that saw it end, and the
-        fingerprints of the requests that were cut there.
+        Lists of an upstream's life, the instance that saw this life end, and the
+        fingerprints of the requests that were cut off there.
     """
 
     rows: list
--- a/packages/ashhoist/src/ashhoist/control/messages/orders.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/orders.py
@@ -8,7 +8,7 @@
 @message(51)
 @dataclass(frozen=True, slots=True)
 class ReadClaimsFor:
-    """Read a zone's newest claims for the sender, whom the log turns away."""
+    """Ask to read a zone's newest claims for a sender that the log rejects."""
 
     zone: str
     number: int
@@ -17,7 +17,7 @@
 @message(52)
 @dataclass(frozen=True, slots=True)
 class AppendClaimFor:
-    """Append a claim for the sender, only where its partition ends at `at`."""
+    """Ask to append a claim if the end of its partition is still at `at`."""
 
     zone: str
     number: int
@@ -28,12 +28,14 @@
 @message(53)
 @dataclass(frozen=True, slots=True)
 class ClaimsRead:
-    """The newest claims: lists of offset, key and value.
+    """Response to `ClaimsReadRequest`.
 
     Parameters
     ----------
     end : int
-        Where the partition ended; -1 if the log did not answer.
+        End offset of the partition; -1 if the log did not answer.
+    records : list
+        The newest claims, each as ``[offset, key, value]``.
     """
 
     zone: str
@@ -45,14 +47,14 @@
 @message(54)
 @dataclass(frozen=True, slots=True)
 class ClaimAppended:
-    """How an append ended.
+    """Response to `ClaimAppendRequest`.
 
     Parameters
     ----------
     result : str
         ``appended``, ``condition``, ``unavailable`` or ``unknown``.
     value : int
-        The offset of the record, or where the partition ended.
+        The offset of the appended record, or else the end of the partition.
     """
 
     zone: str
@@ -64,12 +66,16 @@
 @message(57)
 @dataclass(frozen=True, slots=True)
 class Carry:
-    """An order for an engine whose zone's lease the receiver holds.
+    """Forward an order to the holder of the lease for the engine's zone.
 
     Parameters
     ----------
+    number : int
+        Chosen by the sender; repeated in the response.
+    expected : int
+        Order sequence number that the engine must be at for the order to be valid.
     version : int
-        Of the adapter; 0 asks for the newest.
+        Adapter version; 0 means the newest.
     """
 
     number: int
@@ -86,7 +92,7 @@
 @message(58)
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """How an order ended that the receiver had asked for."""
+    """Result of an order that the receiver had forwarded to the sender."""
 
     number: int
     upstream: str
--- a/packages/ashhoist/src/ashhoist/control/messages/rates.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/rates.py
@@ -8,14 +8,14 @@
 @message(67)
 @dataclass(frozen=True, slots=True)
 class DrawTokens:
-    """Ask for tokens of a customer's quota.
+    """Request tokens from a customer's quota.
 
     Parameters
     ----------
     needed : float
-        For the request that waits.
+        Tokens needed by the request that is waiting.
     extra : float
-        What the next ones will likely need.
+        Estimate of what the following requests will need.
     """
 
     number: int
@@ -27,16 +27,16 @@
 @message(68)
 @dataclass(frozen=True, slots=True)
 class TokensDrawn:
-    """Tokens that the receiver may spend.
+    """Response to `TokenRequest`: tokens that the receiver may spend.
 
     Parameters
     ----------
     tokens : float
-        0 if the quota does not hold what is needed now.
+        0 if the quota does not currently hold the tokens needed.
     wait_ms : int
-        When it will; -1 if the sender can't tell, or grants nothing now.
+        Milliseconds until it will; -1 if the sender can't tell, or grants nothing now.
     used, spare : float
-        Of the quota's rate, and of its burst; see `customers.granter.Use`.
+        Shares of the quota's rate and of its burst; see `customers.granter.Use`.
     """
 
     number: int
@@ -49,7 +49,7 @@
 @message(69)
 @dataclass(frozen=True, slots=True)
 class ReturnTokens:
-    """Tokens that were not spent: lists of customer and tokens."""
+    """Return unspent tokens, as ``[customer, tokens]`` lists."""
 
     rows: list
 
@@ -57,14 +57,14 @@
 @message(73)
 @dataclass(frozen=True, slots=True)
 class LimitsNamed:
-    """What answers of upstreams have said of their limits.
+    """Rate limits that upstreams have declared in their responses.
 
     Parameters
     ----------
     rows : list
-        Lists of an upstream's life, the requests a second that it takes (none if the
-        answer named no limit), and how many microseconds ago the request was sent and
-        its answer came.
+        Lists of an upstream's life, the requests per second that it accepts (none if
+        the response declared no limit), and how many microseconds ago the request was
+        sent and its response arrived.
     """
 
     rows: list
@@ -73,12 +73,12 @@
 @message(74)
 @dataclass(frozen=True, slots=True)
 class LeaveShare:
-    """The sender leaves its share of all limits to the receiver, which leads.
+    """The sender cedes its share of all limits to the receiver, the leader.
 
     Parameters
     ----------
     since : int
-        As `AskProof.leaves_since`.
+        Same as `ProofRequest.leaves_since`.
     """
 
     since: int
@@ -87,12 +87,12 @@
 @message(75)
 @dataclass(frozen=True, slots=True)
 class AskPermit:
-    """Ask for one send to an upstream that has named a limit.
+    """Request permission for one send to an upstream that has declared a rate limit.
 
     Parameters
     ----------
     number : int
-        Chosen by the asker; it stands in the answer.
+        Chosen by the sender; repeated in the response.
     """
 
     number: int
@@ -102,12 +102,14 @@
 @message(76)
 @dataclass(frozen=True, slots=True)
 class PermitAnswered:
-    """Whether the receiver may send.
+    """Response to `PermitRequest`.
 
     Parameters
     ----------
+    granted : bool
+        Whether the receiver may send.
     wait_ms : int
-        When to ask again; 0 if it may.
+        Milliseconds after which to ask again; 0 if granted.
     """
 
     number: int
--- a/packages/ashhoist/src/ashhoist/control/messages/records.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/records.py
@@ -1,4 +1,4 @@
-"""Messages that replicate log records and prove that they are current."""
+"""Messages that replicate log records and prove that a replica is current."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 @message(42)
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """Ask for the newest records of a topic behind an offset."""
+    """Request the newest records of a topic after an offset."""
 
     topic: str
     after: int
@@ -16,8 +16,8 @@
 
 @message(56)
 @dataclass(frozen=True, slots=True)
-class Announce:
-    """The sender has read a record that is too large to be relayed unasked."""
+class LargeRecordsNotice:
+    """Announce new records that are too large to be pushed without a request."""
 
     topic: str
     offset: int
@@ -26,17 +26,17 @@
 @message(43)
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """Records as the sender has read them.
+    """Records as read from the log by the sender, or relayed to it.
 
     Parameters
     ----------
     after, up_to : int
-        The records are all that has changed something behind `after` and up to
-        `up_to`; a receiver that has not seen `after` lacks some.
+        The message has all effective records with offsets after `after` and up to
+        `up_to`; a receiver that has not seen `after` has a gap before them.
     records : bytes
-        As `relays.pack` makes them.
+        Records encoded by `relays.pack`.
     compressed : bool
-        Whether they are.
+        Whether `records` is compressed.
     """
 
     topic: str
@@ -49,16 +49,16 @@
 @message(65)
 @dataclass(frozen=True, slots=True)
 class AskProof:
-    """Ask how long ago what the receiver knows of the configuration was the newest.
+    """Ask when the receiver's copy of the configuration was last known to be current.
 
-    Whoever asks the leader leaves its share of all quotas to it.
+    Sent to the leader, the message also cedes the sender's share of all quotas to it.
 
     Parameters
     ----------
     asked_at : int
-        The sender's steady clock, in microseconds; it stands in the answer.
+        The sender's monotonic clock, in microseconds; repeated in the response.
     leaves_since : int
-        The newest `Beat.sent_at` of the receiver from which on the sender leaves its
+        The newest `Heartbeat.sent_at` of the receiver as of which the sender cedes its
         share to it; -1 if it does not.
     """
 
@@ -69,12 +69,15 @@
 @message(66)
 @dataclass(frozen=True, slots=True)
 class Proven:
-    """What the sender knew was the newest, so long before it sent this.
+    """Response to `ProofRequest`: the age of the proof that the sender is current.
 
     Parameters
     ----------
+    age_us : int
+        Microseconds between the moment for which the sender's configuration is proved
+        to have been the newest, and the sending of this message.
     offset : int
-        Up to which it knew all changes of the configuration.
+        Offset up to which the sender knew all changes of the configuration.
     """
 
     asked_at: int
--- a/packages/ashhoist/src/ashhoist/control/messages/requests.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/requests.py
@@ -1,4 +1,4 @@
-"""Messages about requests waiting for adapters and their use of engines."""
+"""Messages about requests that wait for an adapter and their use of engines."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 @message(46)
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A request of the sender waits for an adapter.
+    """Ask the leader to place a request that needs an adapter.
 
     Parameters
     ----------
     oldest_version : int
-        Of the adapter; an older one does not do.
+        Oldest adapter version that is acceptable.
     worth, late_worth : float
-        What an answer in time, or a late one, is worth.
+        Value of a response within the target latency, and of a late one.
     tried : list
-        Upstreams that have refused or failed the request.
+        Upstreams that have already refused or failed the request.
     """
 
     id: str
@@ -39,7 +39,7 @@
 @message(47)
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """A request no longer waits."""
+    """Cancel a `PlacementRequest`: the request no longer waits."""
 
     id: str
 
@@ -47,14 +47,14 @@
 @message(48)
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """A request may be sent to an engine that serves its adapter.
+    """The leader has chosen an engine that serves the request's adapter.
 
     Parameters
     ----------
     expected_ms : int
-        When its first event should come.
+        Expected milliseconds until the first event of the response.
     permitted : bool
-        Whether that engine has named a limit, and this send is within it.
+        Whether the engine has declared a rate limit and this send is within it.
     """
 
     id: str
@@ -67,7 +67,7 @@
 @message(49)
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """A request is not going to get its adapter in time."""
+    """The request can't get its adapter in time."""
 
     id: str
     reason: str
@@ -77,17 +77,17 @@
 @message(50)
 @dataclass(frozen=True, slots=True)
 class Uses:
-    """What requests do at engines, in their order.
+    """Changes in the sender's use of engines, in the order in which they occurred.
 
     Parameters
     ----------
     began : list
-        Lists of id, upstream, model, name and tokens, of those that the holder
-        has not granted.
+        Lists of id, upstream, model, name and tokens of the uses that the leader has
+        not granted itself.
     started : list
-        Lists of id and upstream.
+        Lists of id and upstream, of requests that have received their first event.
     ended : list
-        Lists of id, upstream and what the end says of it (`UseEnd`).
+        Lists of id, upstream and outcome (`UseEnd`).
     """
 
     began: list
@@ -98,6 +98,6 @@
 @message(55)
 @dataclass(frozen=True, slots=True)
 class Waits:
-    """A request waits for its adapter; the holder has taken it in."""
+    """The leader has queued the request until its adapter is available."""
 
     id: str
--- a/packages/ashhoist/src/ashhoist/control/messages/residency.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/residency.py
@@ -8,7 +8,7 @@
 @message(45)
 @dataclass(frozen=True, slots=True)
 class Holds:
-    """All adapters that an engine serves: lists of model, name, version."""
+    """All adapters that an engine serves, as ``[model, name, version]`` lists."""
 
     epoch: int
     upstream: str
@@ -18,13 +18,13 @@
 @message(62)
 @dataclass(frozen=True, slots=True)
 class HoldsChanged:
-    """What engines serve since the last message, for one that was told all before.
+    """Changes since the last message, for a receiver that has the full state.
 
     Parameters
     ----------
     rows : list
-        Lists of upstream, what it serves anew (lists of model, name, version), and
-        what it serves no more (lists of model, name).
+        Lists of upstream, adapters added or updated (lists of model, name, version),
+        and adapters removed (lists of model, name).
     """
 
     epoch: int
@@ -34,12 +34,12 @@
 @message(63)
 @dataclass(frozen=True, slots=True)
 class Locate:
-    """Ask a hub which engines serve an adapter: the leader does not answer.
+    """Ask a hub which engines serve an adapter, when the leader does not answer.
 
     Parameters
     ----------
     number : int
-        Chosen by the asker; it stands in the answer.
+        Chosen by the sender; repeated in the response.
     """
 
     number: int
@@ -50,7 +50,7 @@
 @message(64)
 @dataclass(frozen=True, slots=True)
 class Located:
-    """The engines that serve an adapter, as far as the sender knows.
+    """Engines that serve an adapter, as known to the sender.
 
     Parameters
     ----------
--- a/packages/ashhoist/src/ashhoist/control/peers.py
+++ b/packages/ashhoist/src/ashhoist/control/peers.py
@@ -1,4 +1,4 @@
-"""The other instances: which exist, which are linked, what they last said."""
+"""The other instances: which exist, which are linked, and their last heartbeats."""
 
 import functools
 import hashlib
@@ -11,11 +11,13 @@
 from .messages import Beat
 
 SILENT_AFTER = timedelta(seconds=3)
-FORGET_AFTER = timedelta(hours=6)
-"""Longer than zones and regions lose each other for."""
-MOST_RANKS = 4096
-OVERDUE_AFTER = timedelta(microseconds=2400)
-"""For each millisecond between the beats of an instance: 2.4 times as long."""
+"""Minimum time without a sign of life after which a link is dropped."""
+REMOVE_AFTER = timedelta(hours=6)
+"""Longer than network partitions between zones or regions last."""
+RANK_CACHE_SIZE = 4096
+"""Size of the cache of `rank`."""
+OVERDUE_PER_MS = timedelta(microseconds=2400)
+"""Per millisecond of an instance's heartbeat interval: overdue after 2.4 intervals."""
 
 
 @dataclass(slots=True)
@@ -25,11 +27,13 @@
     Parameters
     ----------
     capacity : float
-        Processor cores it may use.
+        Processor cores that it may use.
+    heard_at : timedelta or None
+        When it was last heard of: link up, introduction or heartbeat.
     linked_at : timedelta
         When the last link came up.
     unlinked_since : timedelta or None
-        Since when there should be a link, but is none.
+        Since when there has been no link, although there should be one.
     """
 
     name: str
@@ -41,38 +45,38 @@
     linked_at: timedelta = timedelta()
     unlinked_since: timedelta | None = None
     beat: Beat | None = None
-    beat_at: timedelta = timedelta()
-    """When the last beat came; `heard_at` may be later."""
+    heartbeat_at: timedelta = timedelta()
+    """When the last heartbeat arrived; `heard_at` may be later."""
 
     @property
     def stops(self) -> bool:
-        """Return whether it has said that it stops."""
+        """Return whether its last heartbeat says that it is stopping."""
         return self.beat is not None and self.beat.stopping
 
     @property
     def leads(self) -> bool:
-        """Return whether it has said that it schedules."""
+        """Return whether its last heartbeat says that it is the leader."""
         return self.beat is not None and self.beat.leads
 
     def is_silent(self, now: timedelta) -> bool:
-        """Return whether it is linked, but has given no sign of life for long."""
+        """Return whether it is linked but has not been heard of for too long."""
         if not self.linked or self.heard_at is None:
             return False
-        patience = SILENT_AFTER
+        silent_after = SILENT_AFTER
         if self.beat is not None:
-            patience = max(patience, self.beat.every_ms * OVERDUE_AFTER)
-        return now - self.heard_at > patience
+            silent_after = max(silent_after, self.beat.every_ms * OVERDUE_PER_MS)
+        return now - self.heard_at > silent_after
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Return whether it is linked and its last beat is not overdue."""
+        """Return whether it is linked and its next heartbeat is not overdue."""
         if not self.linked or self.beat is None or self.heard_at is None:
             return False
-        return now - self.heard_at <= self.beat.every_ms * OVERDUE_AFTER
+        return now - self.heard_at <= self.beat.every_ms * OVERDUE_PER_MS
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """An instance as it registers itself."""
+    """Registration of an instance on the log."""
 
     name: str
     zone: str
@@ -80,12 +84,12 @@
     capacity: float = 1.0
 
     def encode(self) -> bytes:
-        """Return the form on the log."""
+        """Return the value of the record on the log."""
         return cbor2.dumps([self.zone, self.address, self.capacity])
 
     @classmethod
     def decode(cls, record: Record) -> "InstanceRecord | None":
-        """Return the instance in a record, or None if it is none."""
+        """Return the registration in a record, or None if the record is not valid."""
         try:
             zone, address, capacity = cbor2.loads(record.value or b"")
         except (ValueError, TypeError, cbor2.CBORDecodeError):
@@ -100,15 +104,16 @@
     Parameters
     ----------
     revision : int
-        Rises whenever an instance comes, goes, stops, or is linked or not.
+        Incremented whenever an instance is added, updated, removed, linked or unlinked,
+        or reports that it leads or stops.
     """
 
     own: str
     by_name: dict[str, Peer] = field(default_factory=dict)
     revision: int = 0
 
-    def registered(self, record: InstanceRecord) -> None:
-        """Take in an instance from the log; a link knows better."""
+    def add_registered(self, record: InstanceRecord) -> None:
+        """Add an instance of the register; what a link says takes precedence."""
         if record.name == self.own:
             return
         self.revision += 1
@@ -122,8 +127,8 @@
             known.address = record.address
             known.capacity = record.capacity
 
-    def introduced(self, record: InstanceRecord, now: timedelta) -> None:
-        """Take in what an instance says of itself over its link."""
+    def update_introduced(self, record: InstanceRecord, now: timedelta) -> None:
+        """Update an instance from its introduction over a link."""
         self.revision += 1
         name = record.name
         peer = self.by_name.setdefault(name, Peer(name, record.zone, record.address))
@@ -133,7 +138,7 @@
         peer.heard_at = now
 
     def up(self, name: str, now: timedelta) -> None:
-        """Note that there is a link."""
+        """Record that the link to an instance is up."""
         self.revision += 1
         peer = self.by_name.setdefault(name, Peer(name, "", ""))
         peer.linked = True
@@ -142,7 +147,7 @@
         peer.unlinked_since = None
 
     def down(self, name: str, now: timedelta) -> None:
-        """Note that the link is gone."""
+        """Record that the link to an instance is down."""
         peer = self.by_name.get(name)
         if peer is not None:
             self.revision += 1
@@ -150,32 +155,32 @@
             peer.unlinked_since = now
 
     def beat(self, name: str, beat: Beat, now: timedelta) -> bool:
-        """Take in a sign of life; return whether it says something new of itself."""
+        """Record a heartbeat; return whether the instance's state has changed."""
         peer = self.by_name.get(name)
         if peer is None:
             return False
-        before, peer.beat = peer.beat, beat
-        peer.beat_at = now
+        previous, peer.beat = peer.beat, beat
+        peer.heartbeat_at = now
         peer.heard_at = now
-        if before is not None and _says_the_same(before, beat):
+        if previous is not None and _same_state(previous, beat):
             return False
         self.revision += 1
         return True
 
     def leads(self, name: str) -> bool:
-        """Return whether an instance has said that it schedules."""
+        """Return whether an instance says that it is the leader."""
         peer = self.by_name.get(name)
         return peer is not None and peer.leads
 
     def rows(self) -> list[list[object]]:
-        """Return all instances as an `Instances` message has them."""
+        """Return all instances in the form of an `InstanceList` message."""
         return [
             [peer.name, peer.zone, peer.address, peer.capacity]
             for peer in self.by_name.values()
         ]
 
     def fresh(self, now: timedelta) -> list[Peer]:
-        """Return the instances that are linked and were heard of lately."""
+        """Return the linked instances whose next heartbeat is not overdue."""
         return [peer for peer in self.by_name.values() if peer.is_fresh(now)]
 
     def linked(self) -> list[str]:
@@ -183,7 +188,7 @@
         return [peer.name for peer in self.by_name.values() if peer.linked]
 
     def readers(self) -> list[str]:
-        """Return the linked instances that the log answers, as they say."""
+        """Return the linked instances that report that the log answers them."""
         return [
             peer.name
             for peer in self.by_name.values()
@@ -194,34 +199,35 @@
         ]
 
     def has_recent_reader(self, now: timedelta) -> bool:
-        """Return whether a linked instance still passes for a reader of the log."""
+        """Return whether a linked instance still counts as a reader of the log."""
         return any(
             peer.linked
             and peer.beat is not None
-            and now < peer.beat_at + timedelta(milliseconds=peer.beat.reads_for_ms)
+            and now
+            < peer.heartbeat_at + timedelta(milliseconds=peer.beat.reader_for_ms)
             for peer in self.by_name.values()
         )
 
     def silent(self, now: timedelta) -> list[str]:
-        """Return the linked instances that have not been heard for long."""
+        """Return the linked instances that have not been heard of for too long."""
         return [peer.name for peer in self.by_name.values() if peer.is_silent(now)]
 
     def forget_lost(self, now: timedelta) -> None:
-        """Forget instances that have been gone for long."""
+        """Remove instances that have been unlinked for `FORGET_AFTER`."""
         for peer in list(self.by_name.values()):
             if peer.linked or peer.unlinked_since is None:
                 continue
-            if now - peer.unlinked_since > FORGET_AFTER:
+            if now - peer.unlinked_since > REMOVE_AFTER:
                 self.revision += 1
                 del self.by_name[peer.name]
 
 
-def _says_the_same(one: Beat, other: Beat) -> bool:
-    return one.stopping == other.stopping and one.leads == other.leads
+def _same_state(first: Beat, second: Beat) -> bool:
+    return first.stopping == second.stopping and first.leads == second.leads
 
 
-@functools.lru_cache(maxsize=MOST_RANKS)
-def rank(one: str, other: str) -> bytes:
-    """Return a number for a pair of names that every instance agrees on."""
-    pair = "\n".join(sorted((one, other)))
+@functools.lru_cache(maxsize=RANK_CACHE_SIZE)
+def rank(first: str, second: str) -> bytes:
+    """Return a hash of a pair of names, the same at every instance and in any order."""
+    pair = "\n".join(sorted((first, second)))
     return hashlib.blake2b(pair.encode(), digest_size=8).digest()
--- a/packages/ashhoist/src/ashhoist/control/proofs.py
+++ b/packages/ashhoist/src/ashhoist/control/proofs.py
@@ -1,9 +1,9 @@
-"""Keeps proof that the configuration known here is the newest, and shows it to others.
+"""Maintains proof that the configuration known here is current, and shares it.
 
-Whoever reads the log has proof by each read. All ask the leader at each of its beats,
-which is also how they leave it their shares of quotas. If it does not help, others are
-asked in turn: those that read the log, hubs, any instance. Where nobody can help, the
-log itself is asked.
+An instance that reads the log gets proof from each read. All instances ask the leader
+at each of its heartbeats, which is also how they cede their shares of quotas to it. If
+the leader does not help, others are asked in turn: those that read the log, hubs, then
+any instance. As the last resort, the log itself is read.
 """
 
 from collections.abc import Callable
@@ -21,28 +21,31 @@
 from .peers import Peers
 
 MICROSECOND = timedelta(microseconds=1)
-ASK_OTHERS_FROM = timedelta(milliseconds=1800)
-"""Proof of this age says that the leader does not help: what it has is up to half a
-second old, and it is asked at each of its beats, which come each half second."""
-ASK_AGAIN = timedelta(milliseconds=400)
-"""Another one is asked if the last has not helped: many round trips between zones."""
-LAST_RESORT = timedelta(milliseconds=1500)
-"""So long before proof ends the log itself is asked: a call that hangs takes 1.2 s."""
-READ_AGAIN = timedelta(milliseconds=700)
+ASK_OTHERS_AFTER = timedelta(milliseconds=1800)
+"""Proof of this age shows that the leader does not help: the leader's own proof is at
+most half a second old, and it is asked at each of its heartbeats, every half second."""
+ASK_INTERVAL = timedelta(milliseconds=400)
+"""Time until the next instance is asked: many round trips between zones."""
+READ_BEFORE_EXPIRY = timedelta(milliseconds=1500)
+"""Time before proof expires at which the log is read: a call that hangs takes 1.2 s."""
+READ_INTERVAL = timedelta(milliseconds=700)
+"""Minimum time between two reads of the log as the last resort."""
 
 
 class Proofs:
-    """The proof that this instance has, and where it gets it.
+    """Renews the proof of this instance, and answers requests for it.
 
     Parameters
     ----------
     wanted : callable
-        Returns whether keys matter here: there are customers.
+        Returns whether proof is needed: the configuration has customers with keys.
     leaves_since : callable
-        Takes an instance; returns what to tell it in `AskProof.leaves_since`.
+        Takes an instance; returns the `ProofRequest.leaves_since` to send to it.
     catch_up : callable
-        Takes an instance and the offset up to which it knows the configuration, where
-        that is further than what is known here.
+        Takes an instance and the offset up to which it knows the configuration; called
+        when that is ahead of this instance.
+    tell : callable
+        Takes the name of an instance and a message for it.
     """
 
     def __init__(
@@ -71,44 +74,44 @@
         self._clock = clock
         self._log = log
         self._asked_others_at = ZERO
-        self._read_at = ZERO
-        self._turn = 0
-        self._pending: Proven | None = None
-        self._held = True
+        self._log_read_at = ZERO
+        self._next_candidate = 0
+        self._pending_proof: Proven | None = None
+        self._was_held = True
 
-    # What shows it
+    # Proof received
 
     def read(self, asked_at: timedelta) -> None:
-        """Take in that the log itself has shown all of the configuration."""
+        """Record that a read of the log has returned the whole configuration."""
         self._proof.prove(asked_at)
 
-    def answered(self, peer: str, proven: Proven) -> None:
-        """Take in another instance's proof, once all that it knew is known here."""
-        if self._knows(proven):
+    def handle_response(self, peer: str, proven: Proven) -> None:
+        """Use another instance's proof, once its configuration is known here too."""
+        if self._knows_as_much(proven):
             self._prove(proven)
             return
-        self._pending = proven
+        self._pending_proof = proven
         self._catch_up(peer, Position(proven.offset))
 
-    def _knows(self, proven: Proven) -> bool:
+    def _knows_as_much(self, proven: Proven) -> bool:
         return self._knowledge.known_to(Topic.CONFIGURATION) >= proven.offset
 
     def _prove(self, proven: Proven) -> None:
         self._proof.prove((proven.asked_at - proven.age_us) * MICROSECOND)
 
-    def learned(self, leader: str | None) -> None:
-        """Take in that more of the configuration is known here."""
-        if self._pending is not None and self._knows(self._pending):
-            self._prove(self._pending)
-            self._pending = None
+    def configuration_updated(self, leader: str | None) -> None:
+        """Use a pending proof if its configuration has become known here."""
+        if self._pending_proof is not None and self._knows_as_much(self._pending_proof):
+            self._prove(self._pending_proof)
+            self._pending_proof = None
         if self._proof.proved_at is None:
-            # One that has just started: its callers wait for the first proof.
+            # A newly started instance: its callers wait for the first proof.
             self.keep(leader)
 
-    # Shown to others
+    # Proof given to others
 
-    def asked(self, peer: str, message: AskProof) -> None:
-        """Show another instance what proof there is."""
+    def handle_request(self, peer: str, message: AskProof) -> None:
+        """Send another instance the proof that this one has, if any."""
         age = self._proof.age(self._clock.monotonic())
         offset = self._knowledge.known_to(Topic.CONFIGURATION)
         if age is None or offset < 0:
@@ -116,24 +119,24 @@
         age_us = -(-age // MICROSECOND)
         self._tell(peer, Proven(message.asked_at, age_us, offset))
 
-    # Asked for
+    # Proof requested
 
     def keep(self, leader: str | None) -> None:
-        """Ask for new proof where that is due."""
+        """Request new proof if that is due."""
         now = self._clock.monotonic()
         if not self._wanted():
             return
-        self._note_whether_held(now)
+        self._log_if_changed(now)
         age = self._proof.age(now)
-        if age is not None and age < ASK_OTHERS_FROM:
+        if age is not None and age < ASK_OTHERS_AFTER:
             return
-        if now - self._asked_others_at >= ASK_AGAIN:
+        if now - self._asked_others_at >= ASK_INTERVAL:
             self._asked_others_at = now
             self._ask_another(leader, now)
-        self._read_if_last(age, now)
+        self._read_as_last_resort(age, now)
 
     def heard(self, leader: str) -> None:
-        """Ask the leader, which has just told a moment of its own."""
+        """Ask the leader, whose heartbeat has just set a new `Heartbeat.sent_at`."""
         if self._wanted():
             self._ask(leader, self._clock.monotonic())
 
@@ -143,11 +146,11 @@
     def _ask_another(self, leader: str | None, now: timedelta) -> None:
         candidates = self._candidates(leader, now)
         if candidates:
-            self._ask(candidates[self._turn % len(candidates)], now)
-            self._turn += 1
+            self._ask(candidates[self._next_candidate % len(candidates)], now)
+            self._next_candidate += 1
 
     def _candidates(self, leader: str | None, now: timedelta) -> list[str]:
-        """Return whom to ask beside the leader, the best first."""
+        """Return the instances to ask other than the leader, the best first."""
         fresh = [peer for peer in self._peers.fresh(now) if peer.name != leader]
         fresh.sort(
             key=lambda peer: (
@@ -157,20 +160,20 @@
         )
         return [peer.name for peer in fresh]
 
-    def _read_if_last(self, age: timedelta | None, now: timedelta) -> None:
+    def _read_as_last_resort(self, age: timedelta | None, now: timedelta) -> None:
         bound = self._proof.bound
-        if bound is None or now - self._read_at < READ_AGAIN:
+        if bound is None or now - self._log_read_at < READ_INTERVAL:
             return
-        if age is not None and age < bound - LAST_RESORT:
+        if age is not None and age < bound - READ_BEFORE_EXPIRY:
             return
-        self._read_at = now
+        self._log_read_at = now
         self._outside.read_now(Topic.CONFIGURATION)
 
-    def _note_whether_held(self, now: timedelta) -> None:
+    def _log_if_changed(self, now: timedelta) -> None:
         held = self._proof.holds(now)
-        if held == self._held:
+        if held == self._was_held:
             return
-        self._held = held
+        self._was_held = held
         age = self._proof.age(now)
         event = "keys are accepted" if held else "keys are not accepted"
         self._log.info(event, proof_age_s=None if age is None else age.total_seconds())
--- a/packages/ashhoist/src/ashhoist/control/records.py
+++ b/packages/ashhoist/src/ashhoist/control/records.py
@@ -1,7 +1,7 @@
-"""What the shared log says, as this instance has read it or was told.
+"""Applies and relays the records of the shared log.
 
-Whoever reads passes on what is new. Who is behind a peer asks that peer, and reads
-the log itself if that does not help.
+Instances that read the log push new records to the others. An instance that is behind a
+peer pulls the missing records from it, and reads the log itself if that does not help.
 """
 
 from collections.abc import Callable, Mapping
@@ -28,7 +28,7 @@
 )
 from .hubs import Hubs
 from .knowledge import (
-    EMPTY,
+    EMPTY_TOPIC,
     MOST_RELAYED,
     NEEDED_TOPICS,
     NOT_WHOLE,
@@ -40,26 +40,27 @@
 from .relays import pack, unpack
 from .returns import ReturnedUpstreams
 
-READ_OVERDUE_AFTER = timedelta(milliseconds=700)
-"""Beyond a topic's round, its next answer is overdue: slow answers take so long."""
-MOST_PUSHED = 2048
-"""Bytes of records that are told to others unasked."""
+ANSWER_GRACE = timedelta(milliseconds=700)
+"""Time beyond a topic's round after which its next answer is overdue. Slow answers take
+this long."""
+MAX_PUSHED_BYTES = 2048
+"""Maximum bytes of records that are pushed to others without a request."""
 REWRITE_WITHIN = timedelta(seconds=3)
-"""How long upstreams have to write records again that a restored log lacks; they take
+"""How long upstreams have to write records again that a restored log lacks. They take
 about two seconds."""
 
 Decode = Callable[[Topic, Record], Change | None]
 
 
 class SharedRecords:
-    """The records of the log: taken in, put in force, passed on.
+    """Applies the records of the shared topics, and replicates them to other instances.
 
     Parameters
     ----------
     paces : mapping
-        How each topic is read, where this instance reads it.
+        For each topic, the pace at which this instance reads it if it does.
     upstreams_changed : callable
-        Called when which upstreams there are, or what is in force, has changed.
+        Called when the upstreams or the configuration in force have changed.
     log_restored : callable
         Called once for each new era of the log.
     """
@@ -104,18 +105,18 @@
         self._log_may_lack_upstreams = False
         self._log_unread_at = ZERO
         self._version_pulled_at: timedelta | None = None
-        self._furthest: dict[Topic, tuple[str, Position]] = {}
+        self._peers_ahead: dict[Topic, tuple[str, Position]] = {}
 
     @property
     def reads_log(self) -> bool:
-        """Return whether the log has lately answered reads of every topic here."""
+        """Return whether the log has recently answered reads of every topic here."""
         return self.reads_for > ZERO
 
     @property
     def reads_for(self) -> timedelta:
-        """Return how long the log's last answers count from now on.
+        """Return how much longer this instance counts as a reader of the log.
 
-        One topic does not stand for another: others leave all of them to a reader.
+        Requires recent reads of every topic: others leave all topics to a reader.
         """
         if not self.knows_all:
             return ZERO
@@ -123,48 +124,48 @@
             self.knowledge.read_at(topic) + pace.round
             for topic, pace in self._paces.items()
         )
-        overdue_at = expected_at + READ_OVERDUE_AFTER
+        overdue_at = expected_at + ANSWER_GRACE
         return max(overdue_at - self._clock.monotonic(), ZERO)
 
     @property
     def knows_all(self) -> bool:
-        """Return whether all that is needed of the log was read, or told."""
+        """Return whether all topics needed for serving are completely known."""
         return all(self.knowledge.is_whole(topic) for topic in NEEDED_TOPICS)
 
     def knows_latest(self, topic: Topic) -> bool:
-        """Return whether a whole topic is known, and no peer knows more of it."""
-        return self.knowledge.is_whole(topic) and topic not in self._furthest
+        """Return whether a topic is completely known and no peer is ahead."""
+        return self.knowledge.is_whole(topic) and topic not in self._peers_ahead
 
-    # Taken in
+    # Records received
 
     def followed(self, followed: Followed) -> None:
-        """Take in records that were read from the log."""
+        """Apply records that were read from the log, and relay the new ones."""
         now = self._clock.monotonic()
         topic = followed.topic
-        before = self.knowledge.offset(topic)
+        known_offset = self.knowledge.offset(topic)
         self._note_era(topic, followed.end)
-        if followed.whole and followed.end <= before:
+        if followed.whole and followed.end <= known_offset:
             self._log.warning(
                 "log ends before newest known record",
                 topic=topic,
                 end=followed.end,
-                known_offset=before,
+                known_offset=known_offset,
                 records=len(followed.records),
             )
-        fresh = [
-            record for record in followed.records if self._take_record(topic, record)
+        applied = [
+            record for record in followed.records if self._process_record(topic, record)
         ]
         if followed.whole:
             listed = {record.key for record in followed.records}
-            fresh += self._drop_unlisted(topic, listed, followed.end)
-            self.knowledge.note_whole(topic)
+            applied += self._drop_unlisted(topic, listed, followed.end)
+            self.knowledge.note_complete(topic)
         self.knowledge.reached(topic, followed.read_to, now)
-        self._batch_taken(topic)
-        if fresh:
-            self._pass_on(topic, before, fresh)
+        self._finish_batch(topic)
+        if applied:
+            self._pass_on(topic, known_offset, applied)
 
     def _note_era(self, topic: Topic, at: Position) -> None:
-        """Take in the era of a position; a later era may lack known upstreams."""
+        """Process the era of a position; a later era may lack known upstreams."""
         if at < 0:  # no position, hence no era
             return
         now = self._clock.monotonic()
@@ -179,25 +180,25 @@
             self._restored_era = era_of(at)
             self._log_restored()
 
-    def _batch_taken(self, topic: Topic) -> None:
-        """Put in force what a batch of records says of upstreams together."""
+    def _finish_batch(self, topic: Topic) -> None:
+        """Apply the ends of upstreams in a batch, which may have lapsed together."""
         if topic is not Topic.UPSTREAMS:
             return
         known = len(self._directory.view.by_id)
         for upstream, offset in self._lapses.settle(known):
-            self._end_now(upstream, offset, individual=True)
+            self._end_upstream_now(upstream, offset, individual=True)
         self._upstreams_changed()
 
     def tick(self) -> None:
-        """End the upstreams that have lapsed; catch up where this is due."""
+        """End upstreams whose lapse is final, and catch up with peers where due."""
         if not self._has_log_reader():
             self._log_unread_at = self._clock.monotonic()
-        for topic, (peer, offset) in list(self._furthest.items()):
+        for topic, (peer, offset) in list(self._peers_ahead.items()):
             self.catch_up(peer, topic, offset)
         due = self._lapses.due()
         for upstream, offset in due:
-            self._end_now(upstream, offset)
-        returned = self._take_held_back()
+            self._end_upstream_now(upstream, offset)
+        returned = self._apply_held_back()
         if self._end_lost_upstreams() or due or returned:
             self._upstreams_changed()
 
@@ -205,8 +206,8 @@
         """Return whether this instance or a linked one currently reads the log."""
         return self.reads_log or self._peers.has_recent_reader(self._clock.monotonic())
 
-    def _take_held_back(self) -> list[Record]:
-        """Take in the held back records that are due, and return them.
+    def _apply_held_back(self) -> list[Record]:
+        """Apply and return the held-back records that are due.
 
         Returns none while neither this instance nor a linked one reads the log.
         """
@@ -221,8 +222,8 @@
     def _end_lost_upstreams(self) -> bool:
         """End upstreams that a restored log still lacks; return whether there were any.
 
-        Waits until the latest era has been known, and the log read without a break,
-        for `REWRITE_WITHIN`, so that live upstreams can write their records again.
+        Waits until the latest era has been known, and the log continuously read, for
+        `REWRITE_WITHIN`, so that live upstreams can write their records again.
         """
         topic = Topic.UPSTREAMS
         if not self._log_may_lack_upstreams or not self.knows_latest(topic):
@@ -237,14 +238,14 @@
         for upstream in lost:
             known = self._directory.get(upstream)
             born = None if known is None else known.born
-            self._end_now(upstream, ended_at)
+            self._end_upstream_now(upstream, ended_at)
             # Keeps a later restore from bringing the ended upstream back.
             self._returned.note_end(upstream, self.knowledge.offset(topic), born)
             self.knowledge.keep(topic, Record(ended_at, upstream, None))
         return bool(lost)
 
-    def _take_record(self, topic: Topic, record: Record) -> bool:
-        """Take in a record; return whether to relay it to peers.
+    def _process_record(self, topic: Topic, record: Record) -> bool:
+        """Apply a record if it is new; return whether to relay it to peers.
 
         True if it changed something, or moved its key to a position in a later era.
         """
@@ -265,21 +266,21 @@
         return change is not None and self._apply(change)
 
     def _apply_crash(self, record: Record) -> bool:
-        """Take in what an instance has written of requests that were cut off."""
-        said = None
+        """Apply an instance's record of requests that were cut off."""
+        report = None
         if record.value is not None:
             try:
-                said = decode_record(record.value)
+                report = decode_record(record.value)
             except MalformedRecordError as error:
-                self._log.warning("crash not understood", why=str(error))
+                self._log.warning("crash record malformed", why=str(error))
                 self._metrics.count("refused_records", Topic.CRASHES)
                 return False
-        return self._quarantine.put(record.key, said, record.offset)
+        return self._quarantine.put(record.key, report, record.offset)
 
     def _pass_on(self, topic: Topic, after: int, records: list[Record]) -> None:
-        """Tell the others what was read; what is large they ask for."""
+        """Push records to the linked instances, or announce them if they are large."""
         peers = self._peers.linked()
-        if sum(_size(record) for record in records) > MOST_PUSHED:
+        if sum(_value_size(record) for record in records) > MAX_PUSHED_BYTES:
             self._announce(topic, peers)
             return
         newest = self.knowledge.offset(topic)
@@ -288,15 +289,15 @@
             self._outside.send_to(peer, relay)
 
     def _announce(self, topic: Topic, peers: list[str]) -> None:
-        """Tell others that there is more to ask for than is told unasked."""
-        message = messages.Announce(str(topic), self.knowledge.offset(topic))
+        """Announce to others that there are new records to pull."""
+        message = messages.LargeRecordsNotice(str(topic), self.knowledge.offset(topic))
         for peer in peers:
             self._outside.send_to(peer, message)
 
     def _drop_unlisted(
         self, topic: Topic, listed: set[str], end: Position
     ) -> list[Record]:
-        """End keys missing from a whole list; return the end records to relay."""
+        """End keys missing from a complete list; return the end records to relay."""
         ends = self.knowledge.drop_ended(topic, listed, end)
         if topic is Topic.CRASHES:
             self._quarantine.keep_only(listed, end)
@@ -308,7 +309,7 @@
         for upstream in self._returned.held_back(end):
             if upstream in listed:
                 continue
-            self._end_now(upstream, last_offset, individual=True)
+            self._end_upstream_now(upstream, last_offset, individual=True)
             end_record = Record(last_offset, upstream, None)
             self.knowledge.keep(topic, end_record)
             self.knowledge.see(topic, last_offset)
@@ -316,7 +317,7 @@
         return ends
 
     def _apply(self, change: Change) -> bool:
-        """Take in a change; return whether it was one."""
+        """Apply a change; return whether it had an effect."""
         if isinstance(change, ConfigurationPut):
             return self._put_configuration(change)
         if isinstance(change, ConfigurationRefused):
@@ -336,7 +337,9 @@
         if not self._in_force.name_version(change.adapter, change.version, now):
             return False
         self._log.info(
-            "version named", adapter=str(change.adapter), version=change.version
+            "adapter version changed",
+            adapter=str(change.adapter),
+            version=change.version,
         )
         return True
 
@@ -352,13 +355,13 @@
         upstream = change.upstream
         if era_of(upstream.offset) < self.knowledge.era(Topic.UPSTREAMS):
             self._log_may_lack_upstreams = True
-        back = self._lapses.back(upstream.id)
-        before = self._directory.get(upstream.id)
-        if not self._directory.put(upstream) and not back:
+        had_lapsed = self._lapses.back(upstream.id)
+        previous = self._directory.get(upstream.id)
+        if not self._directory.put(upstream) and not had_lapsed:
             return False
-        if before is not None and before.life != upstream.life:
+        if previous is not None and previous.life != upstream.life:
             self._log.info("upstream restarted", upstream=upstream.id)
-            self._forget(upstream.id)
+            self._drop_state(upstream.id)
         self._log.info(
             "upstream changed",
             upstream=upstream.id,
@@ -371,7 +374,7 @@
         return True
 
     def _refuse_upstream(self, change: UpstreamRefused) -> bool:
-        """Use nothing that a record says; an upstream it has replaced is gone."""
+        """Reject an invalid record; an upstream whose record it has replaced ends."""
         self._log.warning(
             "upstream refused", upstream=change.upstream_id, why=change.why
         )
@@ -381,16 +384,18 @@
     def _end_upstream(self, change: UpstreamEnded) -> bool:
         known = self._directory.get(change.upstream_id)
         if known is None or not known.takes_work:
-            return self._end_now(change.upstream_id, change.offset, individual=True)
+            return self._end_upstream_now(
+                change.upstream_id, change.offset, individual=True
+            )
         if known.offset >= change.offset:
             return False
         self._lapses.note(change.upstream_id, change.offset)
         return True
 
-    def _end_now(
+    def _end_upstream_now(
         self, upstream: str, offset: Position, individual: bool = False
     ) -> bool:
-        """Take in an end; return whether that is news.
+        """End an upstream; return whether that changed anything.
 
         Parameters
         ----------
@@ -406,31 +411,33 @@
         if not self._directory.end(upstream, offset, self._clock.monotonic()):
             return was_held_back
         self._log.info("upstream ended", upstream=upstream, offset=offset)
-        self._forget(upstream)
+        self._drop_state(upstream)
         return True
 
-    def _forget(self, upstream: str) -> None:
-        """Forget all that a life of an upstream has shown: it is over."""
+    def _drop_state(self, upstream: str) -> None:
+        """Drop all state of an upstream's life, which is over."""
         self._residency.forget(upstream)
         self._health.forget(upstream)
         self._outside.forget_upstream(upstream)
 
-    # Told by peers, and told to them
+    # Replication between instances
 
-    def announced(self, peer: str, message: messages.Announce) -> None:
-        """Take in that a peer has read a large record."""
+    def handle_announcement(
+        self, peer: str, message: messages.LargeRecordsNotice
+    ) -> None:
+        """Handle a peer's announcement of records that are too large to push."""
         self.catch_up(peer, Topic(message.topic), Position(message.offset))
 
     def catch_up(self, peer: str, topic: Topic, offset: Position) -> None:
-        """Ask a peer for what it has read already; read that if asking is no help."""
+        """Pull the records that a peer is ahead by, or read the log if that fails."""
         now = self._clock.monotonic()
-        if offset == EMPTY:
+        if offset == EMPTY_TOPIC:
             self.knowledge.note_empty(topic)
-        if not self.knowledge.note_peer(topic, offset, now):
-            self._furthest.pop(topic, None)
+        if not self.knowledge.note_peer_position(topic, offset, now):
+            self._peers_ahead.pop(topic, None)
             return
-        self._furthest[topic] = (peer, offset)
-        if self.knowledge.pull_due(topic, self._hubs.is_near(peer), now):
+        self._peers_ahead[topic] = (peer, offset)
+        if self.knowledge.pull_due(topic, self._hubs.is_preferred_source(peer), now):
             after = self.knowledge.seen(topic)
             self._log.info(
                 "records pulled", topic=topic, peer=peer, after=after, to=offset
@@ -442,11 +449,11 @@
     def pull_newer_version(self, peer: str, version: int) -> None:
         """Pull the configuration from a peer that has a newer version in force.
 
-        Offsets do not show this: a restored log may hold an older version than the
-        peer has, at the end that both have read.
+        Offsets do not show this: both may have read a restored log up to its end, while
+        the log holds an older version than the peer has.
         """
         topic = Topic.CONFIGURATION
-        if version <= self._in_force.version or topic in self._furthest:
+        if version <= self._in_force.version or topic in self._peers_ahead:
             return
         now = self._clock.monotonic()
         pulled_at = self._version_pulled_at
@@ -457,11 +464,11 @@
         self._outside.send_to(peer, messages.Pull(str(topic), NOT_WHOLE))
 
     def pulled(self, peer: str, pull: messages.Pull) -> None:
-        """Tell a peer what it lacks."""
+        """Answer a peer's pull with the records that it lacks."""
         topic = Topic(pull.topic)
         records = self.knowledge.after(topic, Position(pull.after))
         if not records or not self.knowledge.is_whole(topic):
-            # One that knows but a part would pass it on as all there is.
+            # The peer would treat a partial replica as a complete one.
             return
         up_to = self.knowledge.known_to(topic)
         if len(records) == MOST_RELAYED:
@@ -469,33 +476,33 @@
         relay = messages.Relay(pull.topic, pull.after, up_to, *pack(records))
         self._outside.send_to(peer, relay)
 
-    def relayed(self, peer: str, relay: messages.Relay) -> None:
-        """Take in records that a peer has read."""
+    def handle_relay(self, peer: str, relay: messages.Relay) -> None:
+        """Apply records that a peer has relayed."""
         topic = Topic(relay.topic)
         self._note_era(topic, Position(relay.up_to))
         records = unpack(relay.records, relay.compressed)
-        fresh = [record for record in records if self._take_record(topic, record)]
+        applied = [record for record in records if self._process_record(topic, record)]
         seen = self.knowledge.seen(topic)
         if relay.after <= seen:
             self.knowledge.see(topic, Position(relay.up_to))
-            self._go_on(peer, topic, seen)
+            self._continue_pull(peer, topic, seen)
         else:
             self.catch_up(peer, topic, Position(relay.up_to))
-        self._batch_taken(topic)
-        if sum(_size(record) for record in fresh) > MOST_PUSHED:
+        self._finish_batch(topic)
+        if sum(_value_size(record) for record in applied) > MAX_PUSHED_BYTES:
             self._announce(topic, self._hubs.members())
 
-    def _go_on(self, peer: str, topic: Topic, seen_before: Position) -> None:
-        """Ask for the next part of what a peer knows, or note that it was the last."""
+    def _continue_pull(self, peer: str, topic: Topic, seen_before: Position) -> None:
+        """Pull the next records of a peer, or note that there are no more."""
         seen = self.knowledge.seen(topic)
-        _, furthest = self._furthest.get(topic, (peer, NOT_WHOLE))
-        if furthest > seen:
+        _, peer_offset = self._peers_ahead.get(topic, (peer, NOT_WHOLE))
+        if peer_offset > seen:
             if seen > seen_before:
                 self._outside.send_to(peer, messages.Pull(str(topic), seen))
             return
-        self._furthest.pop(topic, None)
-        self.knowledge.note_whole(topic)
+        self._peers_ahead.pop(topic, None)
+        self.knowledge.note_complete(topic)
 
 
-def _size(record: Record) -> int:
+def _value_size(record: Record) -> int:
     return len(record.value or b"")
--- a/packages/ashhoist/src/ashhoist/control/relays.py
+++ b/packages/ashhoist/src/ashhoist/control/relays.py
@@ -1,9 +1,10 @@
-"""Records of the log as messages between instances carry them; many are compressed.
+"""Encoding of log records in messages between instances; long ones are compressed.
 
-Whoever starts is told all of them, by a hub that tells all others of its zone at the
-same time after a restart of everything. 1,001 upstreams have 378 kB as they stand on
-the log and 55 kB compressed, a configuration of 1,400 routes 330 kB and 21 kB (level
-1, some ms): ten that start cost a link of 10 Mbit/s 0.4 s in place of 3.
+An instance that starts receives all records from a hub, which after a full restart
+sends them to all other instances of its zone at the same time. The records of 1,001
+upstreams take 378 kB on the log and 55 kB compressed, a configuration of 1,400 routes
+330 kB and 21 kB (at level 1, in some ms). For ten starting instances, a link of
+10 Mbit/s needs 0.4 s instead of 3 s.
 """
 
 import functools
@@ -14,39 +15,40 @@
 from ..store import Position, Record
 
 LONG = 1024
-"""Bytes from which records are compressed."""
-LEVEL = 1
-KEPT = 8
-"""Packed records whose compressed form is kept: one is sent to many."""
+"""Minimum bytes of encoded records for compression."""
+COMPRESSION_LEVEL = 1
+"""Compression level of zlib."""
+CACHE_SIZE = 8
+"""Size of the cache of compressed records, since many receivers get the same ones."""
 LARGEST = 16_777_216
-"""Bytes that records may have: more is a defect, and not unpacked."""
+"""Maximum bytes of decompressed records; larger data is a fault and is rejected."""
 
 
 def pack(records: list[Record]) -> tuple[bytes, bool]:
-    """Return records as one text of bytes, and whether it is compressed."""
+    """Return records encoded as bytes, and whether the bytes are compressed."""
     rows = [[record.offset, record.key, record.value] for record in records]
     data = cbor2.dumps(rows)
     return (data, False) if len(data) < LONG else (_compressed(data), True)
 
 
 def unpack(data: bytes, is_compressed: bool) -> list[Record]:
-    """Return the records in what `pack` has made.
+    """Return the records encoded by `pack`.
 
     Raises
     ------
     ValueError
-        If it is malformed or too large.
+        If the data is malformed or too large.
     """
     try:
         rows = cbor2.loads(_decompressed(data) if is_compressed else data)
         return [Record(Position(offset), key, value) for offset, key, value in rows]
     except (cbor2.CBORDecodeError, TypeError) as error:
-        raise ValueError(f"not records: {error}") from None
+        raise ValueError(f"malformed records: {error}") from None
 
 
-@functools.lru_cache(maxsize=KEPT)
+@functools.lru_cache(maxsize=CACHE_SIZE)
 def _compressed(data: bytes) -> bytes:
-    return zlib.compress(data, LEVEL)
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def _decompressed(data: bytes) -> bytes:
@@ -54,7 +56,7 @@
     try:
         found = unpacker.decompress(data, LARGEST)
     except zlib.error as error:
-        raise ValueError(f"records can't be unpacked: {error}") from None
+        raise ValueError(f"records can't be decompressed: {error}") from None
     if not unpacker.eof:
-        raise ValueError("records are cut short or too large")
+        raise ValueError(f"compressed records are truncated or exceed {LARGEST} bytes")
     return found
--- a/packages/ashhoist/src/ashhoist/control/store_calls.py
+++ b/packages/ashhoist/src/ashhoist/control/store_calls.py
@@ -1,7 +1,7 @@
-"""Store calls for the leases and the register.
+"""Calls to the store for leases, crash records and the register of instances.
 
-Each lease, and each lease of others, has a connection and a turn of its own: a
-call that hangs holds up no other.
+Each lease of this instance, and each lease of another one, has its own connection and
+queue, so that a call that hangs delays no other.
 """
 
 from collections import deque
@@ -27,12 +27,13 @@
 from .order_leases import partition_of
 from .peers import InstanceRecord
 
-PATIENCE = timedelta(milliseconds=350)
-"""For store calls of the lease: another instance may still be asked in time."""
-REGISTER = "register"
-CRASHES = "crashes"
+LEASE_CALL_TIMEOUT = timedelta(milliseconds=350)
+"""Timeout of store calls for a lease, after which there is still time to ask another
+instance to make the call."""
+REGISTER_CHANNEL = "register"
+CRASHES_CHANNEL = "crashes"
 
-Tell = Callable[[Any], None]
+Send = Callable[[Any], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,36 +61,38 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashAppended:
-    """How a record of requests that were cut off was written."""
+    """The result of `StoreCalls.append_crashes`."""
 
     result: AppendResult
 
 
 @dataclass(slots=True)
-class _Line:
-    """A connection to the log, and the calls that wait for their turn on it."""
+class _Channel:
+    """A connection to the log, and the calls queued on it."""
 
     log: SharedLog
-    waiting: deque[Steps[None]] = field(default_factory=deque)
-    busy: bool = False
+    queued: deque[Steps[None]] = field(default_factory=deque)
+    is_busy: bool = False
 
 
 class StoreCalls:
-    """Makes the calls, each line's one after the other.
+    """Makes the calls; those on the same connection one after the other.
 
     Parameters
     ----------
+    own : InstanceRecord
+        The registration of this instance.
     open_log : callable
         Returns a new connection to the shared log.
     send : callable
-        Takes the answers to the control task.
+        Passes the results to the control task.
     """
 
     def __init__(
         self,
         own: InstanceRecord,
         open_log: Callable[[], SharedLog],
-        send: Tell,
+        send: Send,
         loop: Loop,
         log: Logger,
     ) -> None:
@@ -98,83 +101,85 @@
         self._send = send
         self._loop = loop
         self._log = log
-        self._lines: dict[str, _Line] = {}
-
-    def _line(self, use: str) -> _Line:
-        line = self._lines.get(use)
-        if line is None:
-            line = self._lines[use] = _Line(self._open_log())
-        return line
-
-    def _enqueue(self, line: _Line, call: Steps[None]) -> None:
-        line.waiting.append(call)
-        if not line.busy:
-            line.busy = True
-            Task(self._loop, self._talk(line), "store")
-
-    def _talk(self, line: _Line) -> Steps[None]:
-        """Make all calls that wait on a line, in their order."""
+        self._channels: dict[str, _Channel] = {}
+
+    def _channel(self, name: str) -> _Channel:
+        channel = self._channels.get(name)
+        if channel is None:
+            channel = self._channels[name] = _Channel(self._open_log())
+        return channel
+
+    def _enqueue(self, channel: _Channel, call: Steps[None]) -> None:
+        channel.queued.append(call)
+        if not channel.is_busy:
+            channel.is_busy = True
+            Task(self._loop, self._make_calls(channel), "store")
+
+    def _make_calls(self, channel: _Channel) -> Steps[None]:
+        """Make all queued calls of a connection in order."""
         try:
-            while line.waiting:
-                yield from line.waiting.popleft()
+            while channel.queued:
+                yield from channel.queued.popleft()
         finally:
-            line.busy = False
+            channel.is_busy = False
 
     # Leases
 
     def lease_call(self, action: LeaseAction) -> None:
-        """Make a call for a lease; there is one at a time for each."""
+        """Make a call for a lease of this instance; one at a time for each lease."""
         zone = action.key if isinstance(action, ReadClaims) else action.claim.key
-        line = self._line(f"own/{zone}")
-        self._enqueue(line, self._lease_call(line, action))
+        channel = self._channel(f"own/{zone}")
+        self._enqueue(channel, self._lease_call(channel, action))
 
-    def _lease_call(self, line: _Line, action: LeaseAction) -> Steps[None]:
+    def _lease_call(self, channel: _Channel, action: LeaseAction) -> Steps[None]:
         if isinstance(action, ReadClaims):
-            found = yield from self._read_claims(line, action.key)
+            found = yield from self._read_claims(channel, action.key)
             self._send(LeaseRead(action.key, found))
             return
         claim = action.claim
         value = claim.encode()
-        result = yield from self._append_claim(line, claim.key, value, action.at)
+        result = yield from self._append_claim(channel, claim.key, value, action.at)
         self._send(LeaseAppended(action, result))
 
     def lease_call_for(
-        self, message: messages.ReadClaimsFor | messages.AppendClaimFor, tell: Tell
+        self, message: messages.ReadClaimsFor | messages.AppendClaimFor, respond: Send
     ) -> None:
-        """Make a call for the lease of another instance."""
-        line = self._line(f"other/{message.zone}")
-        self._enqueue(line, self._lease_call_for(line, message, tell))
+        """Make a call for a lease on behalf of another instance."""
+        channel = self._channel(f"other/{message.zone}")
+        self._enqueue(channel, self._lease_call_for(channel, message, respond))
 
     def _lease_call_for(
         self,
-        line: _Line,
+        channel: _Channel,
         message: messages.ReadClaimsFor | messages.AppendClaimFor,
-        tell: Tell,
+        respond: Send,
     ) -> Steps[None]:
         zone = message.zone
         if isinstance(message, messages.ReadClaimsFor):
-            found = yield from self._read_claims(line, zone)
-            tell(read_answer(message, found))
+            found = yield from self._read_claims(channel, zone)
+            respond(read_answer(message, found))
             return
         at = Position(message.at)
-        result = yield from self._append_claim(line, zone, message.value, at)
-        tell(append_answer(message, result))
+        result = yield from self._append_claim(channel, zone, message.value, at)
+        respond(append_answer(message, result))
 
-    def _read_claims(self, line: _Line, zone: str) -> Steps[Newest | Unavailable]:
-        return line.log.newest(Topic.LEASES, PATIENCE, partition_of(zone))
+    def _read_claims(self, channel: _Channel, zone: str) -> Steps[Newest | Unavailable]:
+        return channel.log.newest(Topic.LEASES, LEASE_CALL_TIMEOUT, partition_of(zone))
 
     def _append_claim(
-        self, line: _Line, zone: str, value: bytes, at: Position
+        self, channel: _Channel, zone: str, value: bytes, at: Position
     ) -> Steps[AppendResult]:
         part = partition_of(zone)
-        return line.log.append(Topic.LEASES, zone, value, at, PATIENCE, part)
+        return channel.log.append(
+            Topic.LEASES, zone, value, at, LEASE_CALL_TIMEOUT, part
+        )
 
-    # Requests that were cut off
+    # Crash records
 
     def append_crashes(self, records: Mapping[str, bytes]) -> None:
-        """Write records, by key, of requests that were cut off."""
-        line = self._line(CRASHES)
-        self._enqueue(line, self._append_crashes(line.log, records))
+        """Append records, by key, of requests that were cut off by a crash."""
+        channel = self._channel(CRASHES_CHANNEL)
+        self._enqueue(channel, self._append_crashes(channel.log, records))
 
     def _append_crashes(
         self, log: SharedLog, records: Mapping[str, bytes]
@@ -185,18 +190,18 @@
     # The register
 
     def register(self) -> None:
-        """Register this instance and read who else is there."""
-        line = self._line(REGISTER)
-        self._enqueue(line, self._register(line.log))
+        """Register this instance, and read which others are registered."""
+        channel = self._channel(REGISTER_CHANNEL)
+        self._enqueue(channel, self._register(channel.log))
 
     def _register(self, log: SharedLog) -> Steps[None]:
-        # First the own record, then the others': of two instances that start
-        # at once, at least one sees the other.
+        # Writes its own record before it reads the others, so that of two instances
+        # that start at the same time at least one sees the other.
         name, value = self._own.name, self._own.encode()
-        done = yield from log.append(Topic.INSTANCES, name, value, None)
+        appended = yield from log.append(Topic.INSTANCES, name, value, None)
         found = yield from log.newest(Topic.INSTANCES)
-        if not isinstance(done, Appended):
-            self._log.warning("not registered", result=type(done).__name__)
+        if not isinstance(appended, Appended):
+            self._log.warning("registration failed", result=type(appended).__name__)
             return
         if isinstance(found, Unavailable):
             self._log.warning("register not read", detail=found.detail)
@@ -207,8 +212,8 @@
 
     def unregister(self) -> None:
         """Remove this instance from the register."""
-        line = self._line(REGISTER)
-        self._enqueue(line, self._unregister(line.log))
+        channel = self._channel(REGISTER_CHANNEL)
+        self._enqueue(channel, self._unregister(channel.log))
 
     def _unregister(self, log: SharedLog) -> Steps[None]:
         yield from log.append(Topic.INSTANCES, self._own.name, b"", None)
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -1,7 +1,7 @@
-"""Many control cores on one manual clock, with a store, engines and links between.
+"""Simulates many control cores with a store, engines and links on a manual clock.
 
-Nothing runs by itself: `run` moves the clock from event to event. Faults are
-switches; the checks read what engines have seen.
+Nothing runs by itself: `run` advances the clock from event to event. Faults are
+injected by setting attributes, and checks read the orders that engines have received.
 """
 
 from collections.abc import Callable, Mapping
@@ -58,11 +58,11 @@
     renew_every=timedelta(seconds=0.8),
     clock_margin=timedelta(seconds=0.1),
 )
-"""A lease with short times, so that days of it are short."""
+"""A lease with short times, so that simulations of many terms are short."""
 
 
 class _Outside:
-    """What one core reaches."""
+    """Implements `Outside` for one core by calls to the simulation."""
 
     def __init__(self, world: "World", machine: Machine) -> None:
         self._world = world
@@ -106,12 +106,14 @@
 
 
 class World(RecordWriter):
-    """Machines, a store, engines.
+    """Simulated machines, store and engines.
 
     Parameters
     ----------
     machines, engines : int
-        How many of each.
+        Number of each.
+    zones : int
+        Number of availability zones that both are spread over.
     """
 
     def __init__(
@@ -151,7 +153,7 @@
     # Machines
 
     def start(self, *names: str) -> None:
-        """Start processes, by default all."""
+        """Start the processes of machines, by default of all."""
         for name in names or tuple(self.machines):
             self._start(self.machines[name])
 
@@ -197,23 +199,23 @@
         self._tick(machine, core)
 
     def kill(self, name: str) -> None:
-        """End a process without a word."""
+        """Kill a process, without an orderly stop."""
         machine = self.machines[name]
         machine.core = None
         for other in self.machines:
             self.links.unlink(name, other)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Let a process stand still; what comes meanwhile waits."""
+        """Freeze a process; events in the meantime are handled once it thaws."""
         machine = self.machines[name]
         machine.frozen = True
         self.after(seconds, machine.thaw)
 
     def _tick(self, machine: Machine, core: Core) -> None:
         def step() -> None:
-            read_itself = core.reads_itself
+            did_read = core.reads_itself
             core.tick()
-            if core.reads_itself and not read_itself:
+            if core.reads_itself and not did_read:
                 for topic in SHARED_TOPICS:
                     machine.followers[topic].follower.poke()
             self.links.relink(machine)
@@ -228,13 +230,13 @@
         return self.timeline.now
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let time pass; return whether `until` came true."""
+        """Let time pass; return whether `until` became true."""
         return self.timeline.run(seconds, until)
 
-    # The log, as machines read it
+    # Reads of the log by machines
 
     def _follow(self, machine: Machine, core: Core, topic: Topic) -> WorldFollower:
-        """Let a process read a topic as the product does."""
+        """Return a follower by which a process reads a topic as the product does."""
         return WorldFollower(
             self.store,
             topic,
@@ -246,10 +248,10 @@
             lambda step: machine.do(core, step),
         )
 
-    # Engines, as machines reach them
+    # Calls of machines to engines
 
     def order(self, machine: Machine, order: Order) -> None:
-        """Carry an order to its engine."""
+        """Deliver an order to its engine, subject to the injected faults."""
         core = machine.core
         assert core is not None
         if not core.desk.may_send(order):
@@ -266,7 +268,7 @@
     def _arrive_late(
         self, machine: Machine, core: Core, order: Order, seconds: float
     ) -> None:
-        """Let an engine take an order that was held up, if it was not dropped."""
+        """Deliver an order that was delayed, unless it was dropped."""
         engine = self.engines.get(order.upstream)
         has_ended = machine.core is not core
         if engine is None or self.held_up.drops(seconds, has_ended, machine.frozen):
@@ -306,13 +308,20 @@
         )
 
     def _answer_order(
-        self, machine: Machine, core: Core, order: Order, answer: OrderAnswer, s: float
+        self,
+        machine: Machine,
+        core: Core,
+        order: Order,
+        answer: OrderAnswer,
+        delay_s: float,
     ) -> None:
-        step = lambda: self._settled(core, lambda: core.order_answered(order, answer))  # noqa: E731
-        self.after(s, lambda: machine.do(core, step))
+        step = lambda: self._run_and_settle(  # noqa: E731
+            core, lambda: core.order_answered(order, answer)
+        )
+        self.after(delay_s, lambda: machine.do(core, step))
 
     def report(self, machine: Machine, request: AskReport) -> None:
-        """Tell what an engine held a moment ago."""
+        """Answer a request for the report of an engine, after `REPORT_LAG_S`."""
         core = machine.core
         engine = self.engines.get(request.upstream)
         assert core is not None
@@ -328,19 +337,19 @@
                 {Adapter(MODEL, name): v for name, (v, _) in engine.coming.items()},
                 born=self.born_by_engine.get(request.upstream, 0),
             )
-        step = lambda: self._settled(  # noqa: E731
+        step = lambda: self._run_and_settle(  # noqa: E731
             core, lambda: core.reported(request.upstream, report)
         )
         self.after(REPORT_LAG_S, lambda: machine.do(core, step))
 
-    def _settled(self, core: Core, step: Callable[[], None]) -> None:
+    def _run_and_settle(self, core: Core, step: Callable[[], None]) -> None:
         step()
         core.settle()
 
-    # What tests ask and read
+    # Used by tests
 
     def ask(self, name: str, wanted: Wanted) -> None:
-        """Let a request of a machine want an adapter."""
+        """Submit a request at a machine that needs an adapter."""
         machine = self.machines[name]
         core = machine.core
         assert core is not None
@@ -348,11 +357,11 @@
         answer.add_done_callback(lambda _: self._run_request(machine, core, wanted))
         machine.do(
             core,
-            lambda: self._settled(core, lambda: core.agent.wanted(wanted)),
+            lambda: self._run_and_settle(core, lambda: core.agent.wanted(wanted)),
         )
 
     def _run_request(self, machine: Machine, core: Core, wanted: Wanted) -> None:
-        """Let a request that was placed run for a while at its engine."""
+        """Run a request that was placed at its engine for `RUN_S`."""
         target = wanted.answer.result()
         if not isinstance(target, Target):
             return
@@ -365,15 +374,15 @@
             core.agent.ended(UseEnded(wanted.id, target.upstream, UseEnd.WELL))
             core.settle()
 
-        def leave() -> None:
+        def finish() -> None:
             if engine is not None:
                 engine.users[name] -= 1
             machine.do(core, end)
 
-        self.after(RUN_S, leave)
+        self.after(RUN_S, finish)
 
     def holders(self, zone: str = "zone-0") -> list[str]:
-        """Return the machines that may order a zone's engines by their own belief."""
+        """Return the machines that consider themselves holder of a zone's lease."""
         return [
             name
             for name, machine in self.machines.items()
@@ -383,7 +392,7 @@
         ]
 
     def leaders(self) -> list[str]:
-        """Return the machines that schedule."""
+        """Return the machines that consider themselves the leader."""
         return [
             name
             for name, machine in self.machines.items()
@@ -393,9 +402,9 @@
         ]
 
     def broken_turns(self, lease_s: float = 3.0) -> list[str]:
-        """Return how the orders seen break the rule of one holder at a time."""
+        """Return how the orders seen violate the exclusivity of lease holders."""
         return broken_turns(self.seen, lease_s)
 
     def fallen(self) -> list[str]:
-        """Return the engines that were ordered beyond what they hold."""
+        """Return the failures of engines that were ordered to load more than fits."""
         return [engine.fallen for engine in self.engines.values() if engine.fallen]
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -1,9 +1,9 @@
-"""Records of upstreams that somebody else wrote: they name none, and the others hold.
+"""Invalid records on the upstreams topic are refused, and the other records stay valid.
 
-Symptom: a record with a state that is not known was taken for a ready upstream, one
-whose address is no address failed each request that was sent there, and a record
-without a key ended the reading of the log. Cause: what was missing was filled in, what
-had another type was converted, and a record's first bytes were trusted.
+Guards against lenient decoding, which filled in missing fields, converted values of
+the wrong type, and trusted the first bytes of a record, which hold its key's length. A
+record with an unknown state then became a ready upstream, each request sent to an
+invalid address failed, and a record without a key stopped the reading of the log.
 """
 
 import json
@@ -24,8 +24,8 @@
 from .platform_stand_ins.server import Call, Server
 from .test_restarts import ENTRY
 
-NEEDED = ("service", "address", "zone", "version", "slots", "state", "sequence")
-WRONG: dict[str, tuple[Any, ...]] = {
+REQUIRED = ("service", "address", "zone", "version", "slots", "state", "sequence")
+INVALID: dict[str, tuple[Any, ...]] = {
     "service": (None, 7, "", ["engines"]),
     "address": (None, 7, "", "nowhere", "10.0.0.1", "10.0.0.1:x", "a.example:80"),
     "zone": (None, 7, {}),
@@ -43,47 +43,47 @@
 )
 
 
-def taken(value: bytes) -> object:
-    """Return what a record of an upstream is taken for."""
+def decoded(value: bytes) -> object:
+    """Return the change that a record of an upstream decodes to."""
     return decode(Topic.UPSTREAMS, Record(4, "id-1", value))
 
 
 class DecodeTests(unittest.TestCase):
-    def assert_names_none(self, value: bytes) -> None:
-        change = taken(value)
+    def assert_refused(self, value: bytes) -> None:
+        change = decoded(value)
         assert isinstance(change, UpstreamRefused), change
         self.assertEqual((change.upstream_id, change.offset), ("id-1", 4))
 
-    def test_a_worker_names_itself(self) -> None:
-        self.assertIsInstance(taken(json.dumps(ENTRY).encode()), UpstreamPut)
+    def test_valid_records_are_accepted(self) -> None:
+        self.assertIsInstance(decoded(json.dumps(ENTRY).encode()), UpstreamPut)
         leaving = {**ENTRY, "state": "draining", "not-known-here": 1}
-        self.assertIsInstance(taken(json.dumps(leaving).encode()), UpstreamPut)
+        self.assertIsInstance(decoded(json.dumps(leaving).encode()), UpstreamPut)
 
-    def test_a_field_that_is_missing(self) -> None:
-        for name in NEEDED:
+    def test_missing_field_is_refused(self) -> None:
+        for name in REQUIRED:
             entry = {key: value for key, value in ENTRY.items() if key != name}
             with self.subTest(name):
-                self.assert_names_none(json.dumps(entry).encode())
+                self.assert_refused(json.dumps(entry).encode())
 
-    def test_a_field_of_another_type_or_value(self) -> None:
-        for name, values in WRONG.items():
+    def test_invalid_type_or_value_is_refused(self) -> None:
+        for name, values in INVALID.items():
             for value in values:
                 with self.subTest(name, value=value):
-                    self.assert_names_none(json.dumps({**ENTRY, name: value}).encode())
+                    self.assert_refused(json.dumps({**ENTRY, name: value}).encode())
 
-    def test_bytes_that_can_not_be_read(self) -> None:
+    def test_invalid_json_is_refused(self) -> None:
         for value in (b"", b"{", b"\xff\xfe", b"null", b"[]", b"7", b'"ready"'):
             with self.subTest(value):
-                self.assert_names_none(value)
+                self.assert_refused(value)
 
     @given(st.binary())
     def test_any_bytes(self, value: bytes) -> None:
-        self.assertIsInstance(taken(value), UpstreamPut | UpstreamRefused)
+        self.assertIsInstance(decoded(value), UpstreamPut | UpstreamRefused)
 
     @given(st.dictionaries(st.sampled_from(sorted(ENTRY)), JSON))
     def test_any_values(self, changed: dict[str, Any]) -> None:
         value = json.dumps({**ENTRY, **changed}).encode()
-        self.assertIsInstance(taken(value), UpstreamPut | UpstreamRefused)
+        self.assertIsInstance(decoded(value), UpstreamPut | UpstreamRefused)
 
 
 class DirectoryTests(unittest.TestCase):
@@ -97,21 +97,21 @@
         assert core is not None
         return set(core._directory.view.by_id)
 
-    def refuse(self, key: str) -> None:
-        """Let somebody else write a record under a key."""
+    def write_invalid(self, key: str) -> None:
+        """Write an invalid record under a key."""
         change = UpstreamRefused(key, self.world.log.topics[Topic.UPSTREAMS].end, "why")
         self.world.write(Topic.UPSTREAMS, key, change)
 
-    def test_a_new_key_is_no_upstream_and_the_others_hold(self) -> None:
-        self.refuse("stranger")
+    def test_invalid_record_of_a_new_key_adds_no_upstream(self) -> None:
+        self.write_invalid("stranger")
         self.world.run(2.0)
         for name in self.world.machines:
             self.assertEqual(self.known(name), {"engine-0", "engine-1"})
 
-    def test_one_that_is_written_over_is_used_again_once_it_says_who_it_is(
+    def test_overwritten_upstream_is_used_again_after_a_valid_record(
         self,
     ) -> None:
-        self.refuse("engine-0")
+        self.write_invalid("engine-0")
         self.world.run(2.0)
         for name in self.world.machines:
             self.assertEqual(self.known(name), {"engine-1"})
@@ -122,7 +122,7 @@
 
 
 class ReadTests(unittest.TestCase):
-    def test_records_that_have_no_readable_key_are_passed_over(self) -> None:
+    def test_records_without_a_readable_key_are_skipped(self) -> None:
         good = bytes([4]) + b"id-1" + b"{}"
         records = (b"", b"\x05id", b"\x02\xff\xfe{}", good)
         body = struct.pack(">QQ", 4, 0)
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -1,4 +1,4 @@
-"""What gauges and log lines say of how an instance reads the log."""
+"""Gauges and log lines about an instance's reads of the log."""
 
 import unittest
 from typing import Any
@@ -9,8 +9,8 @@
 from .test_log_returns import readers, running
 
 
-class _Lines:
-    """A logger that keeps the events it is given."""
+class _EventRecorder:
+    """A logger that records events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -22,15 +22,15 @@
 
 
 def lag(world: World, name: str, topic: Topic) -> float:
-    """Return a topic's age as an instance's metrics tell it, in seconds."""
+    """Return the value of an instance's ``topic_lag_seconds`` for a topic."""
     core = world.machines[name].core
     assert core is not None
-    found: float = core._metrics._gauges["topic_lag_seconds"][(topic,)]
-    return found
+    seconds: float = core._metrics._gauges["topic_lag_seconds"][(topic,)]
+    return seconds
 
 
 class LogAgeTests(unittest.TestCase):
-    def test_each_topic_has_an_age_of_its_own(self) -> None:
+    def test_each_topic_has_its_own_lag(self) -> None:
         world = running()
         name = readers(world)[0]
         world.machines[name].unread.add(Topic.CONFIGURATION)
@@ -38,14 +38,14 @@
         self.assertGreater(lag(world, name, Topic.CONFIGURATION), 8.0)
         self.assertLess(lag(world, name, Topic.UPSTREAMS), 2.0)
 
-    def test_it_is_logged_who_begins_to_read_and_who_leaves_it_to_others(self) -> None:
+    def test_begin_and_end_of_reading_are_logged(self) -> None:
         world = World(7, 2)
-        lines = _Lines()
-        world.logger = lines
+        recorder = _EventRecorder()
+        world.logger = recorder
         world.start()
         world.run(3.0)
-        began = lines.events.count("reads the log")
-        left = lines.events.count("leaves the log to others")
+        began = recorder.events.count("reads the log")
+        left = recorder.events.count("leaves the log to others")
         self.assertEqual(began - left, len(readers(world)))
 
 
--- a/tests/test_hubs.py
+++ b/tests/test_hubs.py
@@ -1,4 +1,4 @@
-"""Many instances: few of them link to all, and one of these schedules."""
+"""Large deployments: only hubs link to all instances, and one of them leads."""
 
 import unittest
 from datetime import timedelta
@@ -10,8 +10,8 @@
 from .world_requests import want
 
 ZONES = 3
-MOST_LINKS_OF_OTHERS = 8
-"""What an instance that is no hub may keep: two hubs of each zone, and two more."""
+MAX_LINKS_OF_NON_HUBS = 8
+"""Links that a non-hub may keep: to two hubs of each zone, and two more."""
 
 
 class ManyInstancesTests(unittest.TestCase):
@@ -25,7 +25,7 @@
         world.run(6.0)
         return world
 
-    def assert_sound(self, world: World) -> None:
+    def assert_no_violations(self, world: World) -> None:
         self.assertEqual(world.broken_turns(), [])
         self.assertEqual(world.fallen(), [])
 
@@ -34,7 +34,7 @@
             name for name, machine in world.machines.items() if machine.capacity > 1
         }
 
-    def test_one_leads_and_it_is_a_large_one(self) -> None:
+    def test_the_only_leader_is_a_large_instance(self) -> None:
         world = self.start()
         [leader] = world.leaders()
         self.assertIn(leader, self.large(world))
@@ -54,9 +54,9 @@
             if name in large:
                 self.assertEqual(links, 39, name)
             else:
-                self.assertLessEqual(links, MOST_LINKS_OF_OTHERS, name)
+                self.assertLessEqual(links, MAX_LINKS_OF_NON_HUBS, name)
 
-    def test_links_from_before_there_were_many_are_closed(self) -> None:
+    def test_links_of_a_smaller_deployment_are_closed(self) -> None:
         world = World(40, 6, LeaseTiming(), zones=ZONES)
         names = list(world.machines)
         for index, machine in enumerate(world.machines.values()):
@@ -70,7 +70,7 @@
             assert machine.core is not None
             if machine.capacity < 1:
                 links = len(machine.core.peers.linked())
-                self.assertLessEqual(links, MOST_LINKS_OF_OTHERS, name)
+                self.assertLessEqual(links, MAX_LINKS_OF_NON_HUBS, name)
 
     def test_few_read_the_log(self) -> None:
         world = self.start()
@@ -81,14 +81,14 @@
         ]
         self.assertLessEqual(len(reading), 2)
 
-    def test_a_start_of_all_makes_few_calls_for_each(self) -> None:
+    def test_start_of_all_instances_makes_few_store_calls(self) -> None:
         world = self.start()
-        # The hubs read both topics once or twice; two go on, every 0.4 s.
+        # The hubs read both topics once or twice; two continue every 0.4 s.
         self.assertLessEqual(world.store.reads, 2 * 2 * 2 * ZONES + 4 * 15)
-        # The hubs' claims; none of the others has to read who holds a lease.
+        # Claims of the hubs; no other instance has to read who holds a lease.
         self.assertLessEqual(world.store.lease_calls, 3 * 2 * ZONES * 2)
 
-    def test_a_large_change_is_asked_of_hubs_not_of_the_log(self) -> None:
+    def test_large_change_is_pulled_from_hubs_not_read_from_the_log(self) -> None:
         world = self.start()
         before = world.store.reads
         world.put_configuration(2, size=20_000)
@@ -102,7 +102,7 @@
         # Two readers of two topics, every 0.4 s.
         self.assertLessEqual(world.store.reads - before, 4 * 4)
 
-    def test_a_large_change_is_known_where_no_hub_of_the_zone_helps(self) -> None:
+    def test_large_change_is_known_in_a_zone_that_has_lost_its_hubs(self) -> None:
         world = self.start()
         lost = [
             name
@@ -117,7 +117,7 @@
             if machine.core is not None and not machine.frozen:
                 self.assertEqual(machine.core._in_force.version, 2, machine.name)
 
-    def test_where_all_readers_are_lost_the_hubs_read_and_then_all(self) -> None:
+    def test_other_instances_read_where_all_hubs_are_lost(self) -> None:
         world = self.start()
         for name in self.large(world):
             world.freeze(name, 30.0)
@@ -136,9 +136,9 @@
         world.run(3.0)
         for answer in answers:
             self.assertIsInstance(answer.result(0), Target)
-        self.assert_sound(world)
+        self.assert_no_violations(world)
 
-    def test_a_killed_leader_is_followed_by_one_other(self) -> None:
+    def test_killed_leader_is_replaced_by_one_other(self) -> None:
         world = self.start()
         [leader] = world.leaders()
         world.kill(leader)
@@ -148,7 +148,7 @@
         answer = want(world, name, "a1")
         self.assertTrue(world.run(1.0, lambda: answer.done()))
 
-    def test_all_hubs_killed_at_once_are_followed_by_others(self) -> None:
+    def test_hubs_killed_at_once_are_replaced(self) -> None:
         world = self.start()
         for name in self.large(world):
             world.kill(name)
@@ -159,7 +159,7 @@
         followed = {core.leader for core in cores if core is not None}
         self.assertEqual(followed, set(world.leaders()))
 
-    def test_both_sides_of_a_cut_have_one_leader(self) -> None:
+    def test_each_side_of_a_partition_has_one_leader(self) -> None:
         world = self.start()
         world.links.cut_zones.add("zone-1")
         world.run(4.0)
@@ -171,9 +171,9 @@
         for number in range(20):
             want(world, f"instance-{number}", f"b{number}")
             world.run(0.1)
-        self.assert_sound(world)
+        self.assert_no_violations(world)
 
-    def test_a_cut_of_more_than_a_minute_heals(self) -> None:
+    def test_partition_of_more_than_a_minute_heals(self) -> None:
         world = self.start(24)
         world.links.cut_zones.add("zone-1")
         world.run(timedelta(seconds=75).total_seconds())
@@ -187,7 +187,7 @@
             self.assertIn(holder, self.large(world))
             self.assertEqual(world.machines[holder].zone, zone)
 
-    def test_all_started_anew_have_one_leader_soon(self) -> None:
+    def test_restart_of_all_instances_elects_one_leader_soon(self) -> None:
         world = self.start()
         for name in list(world.machines):
             world.kill(name)
@@ -195,7 +195,7 @@
         world.run(3.0)
         self.assertEqual(len(world.leaders()), 1)
 
-    def test_one_that_knows_only_seeds_finds_the_leader(self) -> None:
+    def test_instance_that_knows_only_seeds_finds_the_leader(self) -> None:
         world = self.start()
         world.kill("instance-30")
         world.seeds = ("instance-10", "instance-11")
@@ -207,7 +207,7 @@
         world.run(1.0)
         self.assertEqual([core.leader], world.leaders())
 
-    def test_one_that_could_not_register_does_so_later(self) -> None:
+    def test_instance_that_could_not_register_does_so_later(self) -> None:
         world = self.start()
         world.kill("instance-30")
         world.store.registered.discard("instance-30")
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What instances know of the log, read by few and told to the others."""
+"""Replication of log records from the few instances that read them to the others."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def versions(world: World) -> set[int]:
-    """Return the configuration versions that are in force anywhere."""
+    """Return the configuration versions in force at any running machine."""
     return {
         machine.core._in_force.version
         for machine in world.machines.values()
@@ -22,7 +22,7 @@
 
 
 def states(world: World, engine: str) -> set[UpstreamState | None]:
-    """Return what machines believe of an engine."""
+    """Return the states of an engine as known by the running machines."""
     found: set[UpstreamState | None] = set()
     for machine in world.machines.values():
         if machine.core is None:
@@ -48,8 +48,8 @@
         world.run(0.6)
         self.assertEqual(states(world, "engine-0"), {None})
 
-    def test_an_end_in_dropped_history_is_known_everywhere_soon(self) -> None:
-        # Guards against failing to relay an end that only the whole list shows.
+    def test_end_whose_record_was_dropped_is_known_everywhere_soon(self) -> None:
+        # Guards against not relaying an end that only a complete list shows.
         for instances in (6, 24):
             with self.subTest(instances=instances):
                 world = started(instances)
@@ -59,7 +59,7 @@
                 world.run(1.9)
                 self.assertEqual(states(world, "engine-0"), {None})
 
-    def test_two_instances_read_while_all_is_well(self) -> None:
+    def test_two_instances_read_without_faults(self) -> None:
         world = started(8)
         world.run(2.0)
         before = world.store.reads
@@ -67,7 +67,7 @@
         # Two topics, each read every 0.4 s by two instances.
         self.assertLess(world.store.reads - before, 120)
 
-    def test_a_restart_makes_nobody_read_more(self) -> None:
+    def test_restart_of_an_instance_adds_no_reads(self) -> None:
         world = started(8)
         world.write_engine("engine-0")
         other = next(name for name in world.machines if name not in world.holders())
@@ -78,14 +78,14 @@
         world.run(10.0)
         self.assertLess(world.store.reads - before, 120)
 
-    def test_where_the_store_turns_machines_away_the_others_tell(self) -> None:
-        for away in range(1, 6):
-            with self.subTest(away=away):
+    def test_machines_that_the_store_rejects_get_changes_from_others(self) -> None:
+        for rejected in range(1, 6):
+            with self.subTest(rejected=rejected):
                 world = started(6)
                 names = world.holders() + [
                     name for name in world.machines if name not in world.holders()
                 ]
-                for name in names[:away]:
+                for name in names[:rejected]:
                     world.machines[name].store_cut = True
                 world.run(3.0)
                 world.put_configuration(5)
@@ -114,8 +114,8 @@
         ]
         self.assertEqual(set(awake), {3})
 
-    def test_what_the_log_did_not_show_is_told_by_the_others(self) -> None:
-        # For a while reads show nothing new, but say that the log has grown.
+    def test_change_that_reads_did_not_return_is_in_force_later(self) -> None:
+        # For a while reads return no new records, although the log's end has moved.
         world = started(6)
         world.store.deaf = True
         world.put_configuration(2)
@@ -127,21 +127,21 @@
         world.run(1.5)
         self.assertEqual(versions(world), {2})
 
-    def test_a_record_that_is_told_hides_no_gap_before_it(self) -> None:
+    def test_relayed_record_behind_a_gap_does_not_advance_the_position(self) -> None:
         world = started(2)
         core = world.machines["instance-0"].core
         assert core is not None
         seen = core.records.knowledge.seen(Topic.CONFIGURATION)
-        told = pack([Record(seen + 5, "version/a1", b"x")])
-        relay = Relay(str(Topic.CONFIGURATION), seen + 4, seen + 5, *told)
+        packed = pack([Record(seen + 5, "version/a1", b"x")])
+        relay = Relay(str(Topic.CONFIGURATION), seen + 4, seen + 5, *packed)
         core.peer_message("instance-1", relay)
         self.assertEqual(core.records.knowledge.seen(Topic.CONFIGURATION), seen)
-        told = pack([Record(seen + 1, "version/a2", b"x")])
-        relay = Relay(str(Topic.CONFIGURATION), seen, seen + 1, *told)
+        packed = pack([Record(seen + 1, "version/a2", b"x")])
+        relay = Relay(str(Topic.CONFIGURATION), seen, seen + 1, *packed)
         core.peer_message("instance-1", relay)
         self.assertEqual(core.records.knowledge.seen(Topic.CONFIGURATION), seen + 1)
 
-    def test_nothing_goes_back_whoever_tells_it(self) -> None:
+    def test_older_configuration_never_replaces_a_newer_one(self) -> None:
         world = started(3)
         world.put_configuration(9)
         world.run(1.0)
@@ -149,7 +149,7 @@
         world.run(2.0)
         self.assertEqual(versions(world), {9})
 
-    def test_an_instance_that_starts_while_the_store_is_down_is_told(self) -> None:
+    def test_instance_that_starts_while_the_store_is_down_gets_ready(self) -> None:
         world = started(3)
         world.store.is_down = True
         world.kill("instance-2")
@@ -161,10 +161,10 @@
 
 
 class LapseTests(unittest.TestCase):
-    """Records of upstreams that ended because the store was away."""
+    """Records of upstreams that lapsed because the store was unavailable."""
 
     def lapsed(self, engines: int, ended: int) -> World:
-        """Return a world in which so many engines' records have just ended."""
+        """Return a world in which the records of `ended` engines have just lapsed."""
         world = started(4, engines)
         answer = want(world, "instance-0", "a1")
         world.run(1.0, lambda: answer.done())
@@ -173,14 +173,14 @@
         world.run(0.7)
         return world
 
-    def test_all_that_lapsed_together_keep_their_work(self) -> None:
+    def test_upstreams_that_lapse_together_stay_ready(self) -> None:
         world = self.lapsed(4, 4)
         self.assertEqual(states(world, "engine-1"), {UpstreamState.READY})
         answer = want(world, "instance-1", "a2")
         self.assertTrue(world.run(0.5, lambda: answer.done()))
         self.assertIsInstance(answer.result(), Target)
 
-    def test_they_stay_once_they_are_back(self) -> None:
+    def test_lapsed_upstreams_stay_ready_once_rewritten(self) -> None:
         world = self.lapsed(4, 4)
         for index in range(4):
             world.write_engine(f"engine-{index}")
@@ -190,7 +190,7 @@
         answer = want(world, "instance-1", "a1")
         self.assertTrue(world.run(0.05, lambda: answer.done()))
 
-    def test_one_that_does_not_come_back_is_gone(self) -> None:
+    def test_lapsed_upstream_that_is_not_rewritten_ends(self) -> None:
         world = self.lapsed(4, 4)
         for index in range(1, 4):
             world.write_engine(f"engine-{index}")
@@ -198,7 +198,7 @@
         self.assertEqual(states(world, "engine-0"), {None})
         self.assertEqual(states(world, "engine-1"), {UpstreamState.READY})
 
-    def test_where_the_store_turns_machines_away_they_are_told_as_well(self) -> None:
+    def test_machine_that_the_store_rejects_learns_of_the_rewrite(self) -> None:
         world = started(4, 4)
         world.machines["instance-3"].store_cut = True
         for index in range(4):
@@ -209,11 +209,11 @@
         world.run(4.0)
         self.assertEqual(states(world, "engine-2"), {UpstreamState.READY})
 
-    def test_few_that_end_are_gone_at_once(self) -> None:
+    def test_one_upstream_that_ends_by_itself_is_gone_at_once(self) -> None:
         world = self.lapsed(4, 1)
         self.assertEqual(states(world, "engine-0"), {None})
 
-    def test_one_that_leaves_is_gone_at_once(self) -> None:
+    def test_draining_upstream_is_gone_at_once(self) -> None:
         world = started(4, 4)
         world.write_engine("engine-0", UpstreamState.DRAINING)
         world.run(0.7)
--- a/tests/test_new_readers.py
+++ b/tests/test_new_readers.py
@@ -1,18 +1,12 @@
-"""Whoever begins to read reads what is new, not all that it was told before.
-
-Symptom: a change was in force 2.64 s after it was confirmed, where 2 s are allowed, at
-instances that had to begin reading because those that read for all had lost the log.
-
-Sequence: two instances read, and told the others of a hundred changes of 20 kB. Then
-both lost the log in the moment of the next change. The others began to read in time,
-and got the hundred changes first, at the pace of their links.
-
-Cause: an instance that is told of changes did not move on the place from which it
-reads: it stood where it had itself read last, which may be days ago. Now what it was
-told moves that place on.
-
-What settled it: the five others had been told up to offset 98, and would read from
-offset 1 on. With 60 changes it took 2.00 s, with 100 2.64 s, with 150 3.44 s.
+"""An instance that starts to read the log skips the records relayed to it before.
+
+Guards against reading from the offset at which the instance itself last read, which may
+be days old, instead of the end of the relayed records. Two readers relayed a hundred
+changes of 20 kB and then both lost the log at the moment of the next change. The five
+others started to read in time, but got the hundred changes again first, at the rate of
+their links: they had been sent the records up to offset 98, and read from offset 1. The
+next change was in force after 2.64 s, where 2 s are allowed (2.00 s with 60 changes,
+3.44 s with 150).
 """
 
 import unittest
@@ -39,18 +33,22 @@
     def change(self, version: int) -> None:
         self.world.put_configuration(version, SIZE)
 
-    def test_one_that_was_told_reads_what_is_new(self) -> None:
+    def test_new_reader_reads_only_records_not_relayed_to_it(self) -> None:
         for version in range(2, CHANGES):
             self.change(version)
             self.world.run(1.0)
-        blind = readers(self.world)
-        for name in blind:
+        lost_readers = readers(self.world)
+        for name in lost_readers:
             self.world.machines[name].store_cut = True
-        others = [m for name, m in self.world.machines.items() if name not in blind]
+        others = [
+            m for name, m in self.world.machines.items() if name not in lost_readers
+        ]
         self.change(CHANGES)
-        began = self.world.now
+        started_at = self.world.now
         self.world.run(9.0, lambda: all(m.in_force.version == CHANGES for m in others))
-        self.assertLessEqual(self.world.now - began, IN_FORCE_WITHIN.total_seconds())
+        self.assertLessEqual(
+            self.world.now - started_at, IN_FORCE_WITHIN.total_seconds()
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_reader_trust.py
+++ b/tests/test_reader_trust.py
@@ -1,18 +1,15 @@
-"""Instances that were in no trouble learn in time of a change that the readers miss.
-
-Symptom: a configuration was in force up to 2.42 s after it was confirmed, where 2 s are
-allowed, at instances whose own ways to the log and to each other were whole.
-
-Sequence: the two that read for all were answered once more, then lost the log, and up
-to 1.2 s later the others heard nothing of them any more. The last beat before that
-still said that they read; the others left the log to them until beats were overdue.
-
-Cause: one trust began where another ended. A reader passes for one until 1.2 s after
-the log's last answer, and its word was then believed for 1.2 s more. A beat tells now
-how long the last answers count; its word ends with them, whenever it was said.
-
-What settled it: of 150 draws of the moments 11 were late, all with the links lost 0.85
-to 1.2 s behind the log; with the log lost alone, none was.
+"""Healthy instances apply a change in time although the readers of the log miss it.
+
+Guards against two timeouts that add up. A reader counts as one until 1.2 s after the
+log's last answer, and its last heartbeat used to be trusted for 1.2 s more. If the two
+readers lost the log, and up to 1.2 s later the other instances, their last heartbeats
+still said that they read, and the others did not read the log until heartbeats were
+overdue. A configuration was then in force up to 2.42 s after it was confirmed, where
+2 s are allowed. Now a heartbeat says how long its sender counts as a reader, and is not
+trusted beyond that time.
+
+Of 150 random timings 11 were late, all with the links lost 0.85 to 1.2 s after the log;
+none was late when only the log was lost.
 """
 
 import unittest
@@ -30,13 +27,13 @@
 from .test_log_returns import readers
 
 IN_FORCE_WITHIN = BoundsSection().configuration.total_seconds()
-OUT_OF_SIGHT_AFTER = [tenths / 10 for tenths in range(13)]
-"""Seconds behind the loss of the log."""
+LINKS_LOST_AFTER = [tenths / 10 for tenths in range(13)]
+"""Seconds from the loss of the log to the loss of the links."""
 SLOW_ANSWERS = timedelta(milliseconds=350)
 
 
 def running(instances: int, seconds: float) -> World:
-    """Return a world that has been up for a while."""
+    """Return a started world after a time."""
     world = World(instances, 2, zones=4)
     world.start()
     world.run(seconds)
@@ -51,30 +48,30 @@
         self.addCleanup(patched.stop)
 
     def late_by(self, world: World, hidden_after: float, freezes: bool) -> float:
-        """Return the seconds until all others know what the readers have missed."""
+        """Return the seconds until all others apply a change that readers missed."""
         world.put_configuration(2)
         world.run(0.03)
-        blind = readers(world)
-        for name in blind:
+        lost_readers = readers(world)
+        for name in lost_readers:
             world.machines[name].store_cut = True
-            self.hide(world, name, hidden_after, freezes)
+            self.cut_off(world, name, hidden_after, freezes)
         world.put_configuration(3)
-        began = world.now
-        others = [m for name, m in world.machines.items() if name not in blind]
+        started_at = world.now
+        others = [m for name, m in world.machines.items() if name not in lost_readers]
         world.run(5.0, lambda: all(m.in_force.version == 3 for m in others))
-        return world.now - began
+        return world.now - started_at
 
-    def hide(self, world: World, name: str, after: float, freezes: bool) -> None:
-        """Let nothing of an instance reach the others from then on."""
+    def cut_off(self, world: World, name: str, after: float, freezes: bool) -> None:
+        """Freeze an instance, or cut its links, after a time."""
         if freezes:
             world.after(after, lambda: world.freeze(name, 9.0))
             return
         machine = world.machines[name]
         world.after(after, lambda: setattr(machine, "links_cut", True))
 
-    def test_readers_that_lose_the_log_and_then_the_others(self) -> None:
+    def test_readers_that_lose_the_log_and_then_their_links(self) -> None:
         late = []
-        for hidden_after in OUT_OF_SIGHT_AFTER:
+        for hidden_after in LINKS_LOST_AFTER:
             world = running(7, 3.0)
             seconds = self.late_by(world, hidden_after, freezes=False)
             if seconds > IN_FORCE_WITHIN:
@@ -95,12 +92,12 @@
         seconds = self.late_by(world, hidden_after, freezes)
         self.assertLessEqual(seconds, IN_FORCE_WITHIN)
 
-    def test_a_word_that_is_trusted_for_longer_is_caught(self) -> None:
-        trusted = timedelta(seconds=1.2)
-        with mock.patch.object(control_readers, "NEWS_OF_READER_AWAITED", trusted):
+    def test_trusting_heartbeats_for_longer_makes_changes_late(self) -> None:
+        longer_trust = timedelta(seconds=1.2)
+        with mock.patch.object(control_readers, "NEWS_OF_READER_AWAITED", longer_trust):
             late = [
                 self.late_by(running(7, 3.0), hidden_after, freezes=False)
-                for hidden_after in OUT_OF_SIGHT_AFTER
+                for hidden_after in LINKS_LOST_AFTER
             ]
         self.assertGreater(max(late), IN_FORCE_WITHIN)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""The store is restored from a copy some seconds old, and reuses offsets."""
+"""The store is restored from a copy some seconds old, and offsets are reused."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 WITHIN_S = (BoundsSection().configuration + RELAYED).total_seconds()
 CHECK_INTERVAL_S = 0.05
 LOST_VERSIONS = 4
-"""Confirmed configurations that the restore loses; the newest is written again."""
+"""Confirmed configurations that the restore loses; the last is written again."""
 EXTRA_CALLS_LIMIT = 40
 """Exclusive bound on the store calls that a restore adds to those of an outage."""
 
@@ -52,7 +52,7 @@
 
 
 class RestoredStoreTests(unittest.TestCase):
-    def test_a_change_confirmed_after_it_is_in_force_in_time(self) -> None:
+    def test_change_confirmed_after_a_restore_is_in_force_in_time(self) -> None:
         world = running()
         restore_store(world)
         world.put_configuration(9)
@@ -67,14 +67,14 @@
                 restore_calls = count_store_calls(True, instances)
                 self.assertLess(restore_calls - outage_calls, EXTRA_CALLS_LIMIT)
 
-    def test_an_upstream_that_leaves_after_it_is_known_in_time(self) -> None:
+    def test_upstream_leaving_after_a_restore_is_known_in_time(self) -> None:
         world = running()
         restore_store(world)
         world.write_engine("engine-0", UpstreamState.DRAINING)
         world.run(WITHIN_S)
         self.assertEqual(states(world, "engine-0"), {UpstreamState.DRAINING})
 
-    def test_one_instance_at_a_time_holds_the_lease_behind_it(self) -> None:
+    def test_one_instance_at_a_time_holds_the_lease_after_a_restore(self) -> None:
         # With its links cut, a holder announces renewals through the log only.
         world = running()
         restore_store(world, 4.0)
@@ -90,8 +90,8 @@
         self.assertEqual(with_two_holders, [])
         self.assertEqual(world.broken_turns(), [])
 
-    def test_a_held_back_record_ends_in_dropped_history(self) -> None:
-        # Guards against releasing a held-back record that a whole list lacks.
+    def test_held_back_record_is_dropped_if_a_complete_list_lacks_it(self) -> None:
+        # Guards against applying a held-back record that a complete list lacks.
         world = running()
         snapshot = world.log.snapshot()
         world.lapse_engine("engine-0")
