--- a/packages/ashhoist/src/ashhoist/placement/__init__.py
+++ b/packages/ashhoist/src/ashhoist/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which adapter lives where, what is loaded next, and who waits for it."""
+"""Adapter placement: which engine serves which adapter, what to load, who waits."""
 
 from .residency import Residency
 from .wants import Want
--- a/packages/ashhoist/src/ashhoist/placement/actions.py
+++ b/packages/ashhoist/src/ashhoist/placement/actions.py
@@ -1,4 +1,4 @@
-"""What the scheduler wants done, and what it is told of requests."""
+"""The actions that the scheduler emits, and one kind of its input."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskReport:
-    """Ask an engine what it holds."""
+    """Fetch an engine's report of what it holds."""
 
     upstream: str
     address: str
@@ -19,12 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A request may be sent; its first token should come after `expected`.
+    """A request may be sent to an engine.
 
     Parameters
     ----------
+    expected : timedelta
+        The expected time to first token.
     permitted : bool
-        Whether the engine has named a limit, and this send is within it.
+        Whether the engine has a rate limit and a permit was taken for this send.
     """
 
     want: Want
@@ -36,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """A request waits for its adapter."""
+    """A request was queued until an engine serves its adapter."""
 
     want: Want
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A request that waited is given up on."""
+    """A queued request is refused."""
 
     want: Want
     reason: Reason
@@ -52,7 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Serving:
-    """An engine serves other adapters than before."""
+    """The set of adapters that an engine serves has changed.
+
+    Parameters
+    ----------
+    held : dict of Adapter to int
+        The versions of all adapters that it serves now.
+    """
 
     upstream: str
     held: dict[Adapter, int]
@@ -63,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Beginning:
-    """A request that an instance has sent by itself."""
+    """A request that an instance has sent to an engine without asking the scheduler."""
 
     upstream: str
     adapter: Adapter
--- a/packages/ashhoist/src/ashhoist/placement/asks.py
+++ b/packages/ashhoist/src/ashhoist/placement/asks.py
@@ -1,4 +1,4 @@
-"""What requests ask of placement, and the answers."""
+"""Messages from request handlers to the placement part of an instance, and answers."""
 
 from concurrent.futures import Future
 from dataclasses import dataclass, field
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where an attempt goes.
+    """The upstream that an attempt is sent to.
 
     Parameters
     ----------
     upstream : str
-        The id of its present life.
+        The id of the upstream's current incarnation.
     version : int or None
-        The adapter version that it must have.
+        The adapter version that the upstream must have.
     expected : timedelta or None
-        How long the first event should take.
+        The expected time to the first event.
     permitted : bool
-        Whether the upstream has named a limit, and this send is within it.
+        Whether the upstream has a rate limit and a permit was taken for this send.
     """
 
     upstream: str
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is not sent anywhere.
+    """Why a request is not sent to any upstream.
 
     Parameters
     ----------
     retry_after : timedelta or None
-        When it is worth coming back.
+        After how long a retry may succeed.
     """
 
     reason: Reason
@@ -50,15 +50,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """A request that needs an adapter; `answer` gets a `Target` or `Refusal`.
+    """A request for an engine that serves an adapter.
 
     Parameters
     ----------
-    aim_at, give_up_at, limit : timedelta
-        When it ceases to be in time; when it is refused unless its adapter is on
-        its way; when an answer is of no use any more.
+    oldest_version : int
+        The oldest acceptable version of the adapter.
+    tokens : int
+        Length of the prompt.
+    worth, late_worth : float
+        The value of an answer that is on time, and of one that is late.
+    aim_at : timedelta
+        Until when an answer counts as on time.
+    limit : timedelta
+        The deadline, after which an answer has no value.
+    give_up_at : timedelta
+        When the request is refused unless its adapter is being loaded.
+    may_return : bool
+        Whether the caller has time to retry if it is refused at once.
+    tried : tuple of str
+        Upstreams that have refused or failed it.
+    answer : Future
+        Gets a `Target` or a `Refusal`.
     taken_in : Future
-        Done once the holder of the lease has said that the request waits there.
+        Done once the leader has acknowledged that the request is queued there.
     """
 
     id: str
@@ -79,7 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """Ask which engines serve an adapter, of whoever knows while nobody leads."""
+    """Find the engines that serve an adapter while there is no leader.
+
+    A hub answers it; no authority is needed.
+    """
 
     adapter: Adapter
     answer: "Future[tuple[Place, ...]]" = field(default_factory=Future)
@@ -87,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NoLongerWanted:
-    """A request has ended while it waited."""
+    """A request has ended while it was queued."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class UseBegan:
-    """A request goes to an engine without having asked the holder."""
+    """A request was sent to an engine without asking the leader."""
 
     id: str
     upstream: str
@@ -104,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UseStarted:
-    """A request at an engine has its first event."""
+    """A request at an engine has received its first event."""
 
     id: str
     upstream: str
 
 
 class UseEnd(StrEnum):
-    """What the end of a request says of its engine."""
+    """What the outcome of a request says about the health of its engine."""
 
     WELL = "well"
     FAILED = "failed"
--- a/packages/ashhoist/src/ashhoist/placement/candidates.py
+++ b/packages/ashhoist/src/ashhoist/placement/candidates.py
@@ -1,7 +1,7 @@
-"""Engines in the order of what it costs to bring any adapter to them.
+"""Engines sorted by a lower bound of the cost of loading any adapter there.
 
-Who looks for the cheapest one for a wanted adapter looks at them in this order, and
-stops where whatever comes behind costs as much at least.
+A search for the cheapest engine for one adapter visits them in this order, and stops at
+the first whose lower bound is not below the best cost found so far.
 """
 
 import bisect
@@ -11,64 +11,67 @@
 
 from .engine import Engine
 
-ALWAYS_LOOKED_AT = -math.inf
+UNKNOWN_COST = -math.inf
+"""Sorts engines without a known lower bound first, so that they are always visited."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Candidate:
-    """An engine, and what it costs at least to bring an adapter there."""
+    """An engine and a lower bound of the cost of loading an adapter there."""
 
-    least_cost: float
+    min_cost: float
     engine_id: str
     engine: Engine = field(compare=False)
 
 
 class Candidates:
-    """Engines that take another load.
+    """Engines that can take another load.
 
     Parameters
     ----------
-    least_cost : callable
-        Returns what bringing an adapter to an engine costs in seconds, without the
-        time to read its prompts; None where it can't be said.
+    min_cost : callable
+        Takes an engine; returns the cost of loading an adapter there in seconds,
+        without the prefill time of the prompts, or None if it can't be estimated.
     """
 
     def __init__(
         self,
         engines: Iterable[Engine],
-        least_cost: Callable[[Engine], float | None],
+        min_cost: Callable[[Engine], float | None],
     ) -> None:
-        self._least_cost = least_cost
+        self._min_cost = min_cost
         by_id = {engine.id: engine for engine in engines}
-        self._queue = [self._candidate(engine) for engine in by_id.values()]
-        self._queue.sort()
-        paces = (engine.work.seconds_a_token for engine in by_id.values())
-        self._seconds_a_token = min(paces, default=0.0)
+        self._sorted = [self._candidate(engine) for engine in by_id.values()]
+        self._sorted.sort()
+        speeds = (engine.inflight.seconds_per_token for engine in by_id.values())
+        self._min_seconds_per_token = min(speeds, default=0.0)
 
     def _candidate(self, engine: Engine) -> _Candidate:
-        cost = self._least_cost(engine)
+        cost = self._min_cost(engine)
         if cost is None:
-            cost = ALWAYS_LOOKED_AT
+            cost = UNKNOWN_COST
         return _Candidate(cost, engine.id, engine)
 
-    def below(self, most: Callable[[], float], tokens: int) -> Iterator[Engine]:
-        """Yield engines while one may cost less.
+    def cheaper_than(
+        self, best_cost: Callable[[], float], tokens: int
+    ) -> Iterator[Engine]:
+        """Yield engines until none of the remaining ones can be cheaper.
 
         Parameters
         ----------
-        most : callable
-            Returns the least cost found so far, in seconds.
+        best_cost : callable
+            Returns the lowest cost found so far, in seconds. Called before each engine.
         tokens : int
-            Of the prompt to be read.
+            Length of the prompt.
         """
-        reading = tokens * self._seconds_a_token
-        for candidate in self._queue:
-            if candidate.least_cost + reading >= most():
+        prefill = tokens * self._min_seconds_per_token
+        for candidate in self._sorted:
+            if candidate.min_cost + prefill >= best_cost():
                 return
             yield candidate.engine
 
-    def changed(self, engine: Engine, is_able: bool) -> None:
-        """Take in that an engine costs something else now, or takes no more."""
-        self._queue = [entry for entry in self._queue if entry.engine is not engine]
-        if is_able:
-            bisect.insort(self._queue, self._candidate(engine))
+    def update(self, engine: Engine, is_eligible: bool) -> None:
+        """Sort an engine in again after a change, or remove it if not eligible."""
+        self._sorted = [entry for entry in self._sorted if entry.engine is not engine]
+        if is_eligible:
+            bisect.insort(self._sorted, self._candidate(engine))
--- a/packages/ashhoist/src/ashhoist/placement/engine.py
+++ b/packages/ashhoist/src/ashhoist/placement/engine.py
@@ -1,8 +1,9 @@
-"""One engine as the holder of the lease sees it: its places, copies and orders.
+"""The leader's model of one engine: its adapter slots, copies and orders.
 
-Each order names the engine's order count. So an order that got no answer is
-sent again as it was: if the first was taken, the second is refused and the engine
-is read back; either way the first can't be carried out later, behind newer ones.
+Each order carries the engine's order count, and the engine accepts it only at that
+count. So an order that got no answer is sent again unchanged: if the first one was
+accepted, the second is refused and the engine's report is fetched. Either way the first
+one can't be carried out later, after newer orders.
 """
 
 from collections import OrderedDict
@@ -13,60 +14,82 @@
 from ..adapter import Adapter
 from ..orders.order import EngineReport, Order, OrderAnswer, OrderKind
 from ..upstreams import Upstream
-from .holders import Holders
-from .residency import MOST_COPIES
-from .work import Work
-
-COLD_LOAD = timedelta(milliseconds=250)
-WARM_LOAD = timedelta(milliseconds=25)
-FIRST_LOOK_SHARE = 0.95
-LOOK_AGAIN = timedelta(milliseconds=20)
-LOOK_AT_MODEL = timedelta(milliseconds=60)
-LOOK_AT_GOING = timedelta(milliseconds=100)
-REPORT_LAG = timedelta(milliseconds=350)
-MOST_COMING = 4
+from .holders import AdapterIndex
+from .residency import MAX_COPIES
+from .work import InflightRequests
+
+COLD_LOAD_TIME = timedelta(milliseconds=250)
+"""Initial estimate for a load from the weight store."""
+WARM_LOAD_TIME = timedelta(milliseconds=25)
+"""Initial estimate for a load from a copy that the engine keeps."""
+FIRST_POLL_FRACTION = 0.95
+"""A load is first polled after this fraction of its expected time."""
+LOAD_POLL_INTERVAL = timedelta(milliseconds=20)
+MODEL_POLL_INTERVAL = timedelta(milliseconds=60)
+UNLOAD_POLL_INTERVAL = timedelta(milliseconds=100)
+REPORT_DELAY = timedelta(milliseconds=350)
+"""Delay before a report is fetched, as reports lag behind the engine's state."""
+MAX_CONCURRENT_LOADS = 4
 SMOOTHING = 0.2
-REFUSED_PAUSE = timedelta(milliseconds=500)
-SLOWEST_LOAD = timedelta(seconds=6)
-OVERDUE = timedelta(milliseconds=500)
+RETRY_PAUSE = timedelta(milliseconds=500)
+"""Pause after an order that was refused or not sent, or a report that failed."""
+MAX_LOAD_TIME = timedelta(seconds=6)
+"""Longer loads count as this long in the estimates."""
+LOAD_OVERDUE_MARGIN = timedelta(milliseconds=500)
 
 
-class PlaceState(StrEnum):
-    """What is known of one place of an engine."""
+class SlotState(StrEnum):
+    """The state of an adapter slot of an engine."""
 
-    COMING = "coming"
+    LOADING = "loading"
     SERVING = "serving"
-    GOING = "going"
+    UNLOADING = "unloading"
 
 
 @dataclass(slots=True)
-class EnginePlace:
-    """One place and the adapter in it.
+class AdapterSlot:
+    """An occupied slot of an engine and the adapter in it.
 
     Parameters
     ----------
-    look_at : timedelta
-        When to ask whether the load or unload has ended.
-    taken : bool
-        True once the engine has taken the order to unload it.
+    since : timedelta
+        When the load was accepted, or the slot was last reported.
+    poll_at : timedelta
+        When to poll whether the load or unload has ended.
+    cold : bool
+        Whether the adapter is loaded from the weight store.
+    unload_accepted : bool
+        True once the engine has accepted the order to unload it.
     """
 
     adapter: Adapter
     version: int
-    state: PlaceState
+    state: SlotState
     since: timedelta
-    look_at: timedelta
+    poll_at: timedelta
     cold: bool = True
-    taken: bool = False
+    unload_accepted: bool = False
     used_at: timedelta = timedelta()
 
 
 @dataclass(frozen=True, slots=True)
-class EngineNews:
-    """What changed at an engine with an answer."""
+class EngineUpdate:
+    """What an answer or report has changed at an engine.
+
+    Parameters
+    ----------
+    loaded : Adapter or None
+        The adapter whose load has ended.
+    duration : timedelta
+        How long that load took.
+    cold : bool
+        Whether it was loaded from the weight store.
+    serving_changed : bool
+        Whether the set of adapters that the engine serves may have changed.
+    """
 
     loaded: Adapter | None = None
-    took: timedelta = timedelta()
+    duration: timedelta = timedelta()
     cold: bool = False
     serving_changed: bool = False
 
@@ -77,19 +100,24 @@
     Parameters
     ----------
     capacity : int
-        Adapters that it can hold at once.
+        Number of adapter slots.
     copies : OrderedDict
         Versions of the adapters that it probably has copies of, oldest first.
-    holders : Holders or None
-        Where to note what it holds.
+    index : AdapterIndex or None
+        The index to update when its slots or copies change.
 
     Attributes
     ----------
-    promised, promised_requests : int
-        Tokens of the prompts that wait for adapters on their way to it, and how many
-        requests these are.
-    awaited : set of Adapter
-        What it serves to requests that wait for a permit to be sent there.
+    reserved_tokens, reserved_requests : int
+        Length of the prompts, and number, of the queued requests that are going to be
+        sent there once a load has ended. The number includes those that wait for a
+        permit.
+    adapters_awaiting_permits : set of Adapter
+        Adapters that it serves and that are needed by requests that wait for a permit.
+    unresolved_order : Order or None
+        The last order if it is not known whether it was accepted.
+    loading_model : AdapterSlot or None
+        The base model that is being loaded.
     """
 
     def __init__(
@@ -97,42 +125,42 @@
         upstream: Upstream,
         capacity: int,
         copies: "OrderedDict[Adapter, int] | None" = None,
-        holders: Holders | None = None,
+        index: AdapterIndex | None = None,
     ) -> None:
         self.upstream = upstream
         self.capacity = capacity
-        self._holders = holders or Holders()
-        self.places: dict[Adapter, EnginePlace] = {}
+        self._index = index or AdapterIndex()
+        self.adapter_slots: dict[Adapter, AdapterSlot] = {}
         self.copies: OrderedDict[Adapter, int] = copies or OrderedDict()
         self.order_count: int | None = None
-        self.sending: Order | None = None
-        self.sent_at = timedelta()
-        self.report_at: timedelta | None = timedelta()
-        self.reporting = False
-        self.lost: Order | None = None
+        self.order_in_flight: Order | None = None
+        self.order_sent_at = timedelta()
+        self.report_due_at: timedelta | None = timedelta()
+        self.report_in_flight = False
+        self.unresolved_order: Order | None = None
         self.paused_until = timedelta()
-        self.work = Work()
-        self.promised = 0
-        self.promised_requests = 0
-        self.awaited: set[Adapter] = set()
+        self.inflight = InflightRequests()
+        self.reserved_tokens = 0
+        self.reserved_requests = 0
+        self.adapters_awaiting_permits: set[Adapter] = set()
         self.models: set[str] = set(upstream.models)
         self.model_copies: set[str] = set()
-        self.model_coming: EnginePlace | None = None
-        self._born = upstream.born
-        self.cold_load = COLD_LOAD
-        self.warm_load = WARM_LOAD
+        self.loading_model: AdapterSlot | None = None
+        self._process_started_at = upstream.born
+        self.cold_load_time = COLD_LOAD_TIME
+        self.warm_load_time = WARM_LOAD_TIME
         for adapter in self.copies:
-            self._holders.copied(self, adapter)
+            self._index.add_copy(self, adapter)
 
-    def _put(self, place: EnginePlace) -> None:
-        self.places[place.adapter] = place
-        self._holders.placed(self, place.adapter)
+    def _add_slot(self, slot: AdapterSlot) -> None:
+        self.adapter_slots[slot.adapter] = slot
+        self._index.add(self, slot.adapter)
 
-    def _remove(self, adapter: Adapter) -> None:
-        del self.places[adapter]
-        self._holders.removed(self, adapter)
+    def _remove_slot(self, adapter: Adapter) -> None:
+        del self.adapter_slots[adapter]
+        self._index.remove(self, adapter)
 
-    # What it has room for
+    # State and capacity
 
     @property
     def id(self) -> str:
@@ -140,304 +168,325 @@
         return self.upstream.id
 
     @property
-    def known(self) -> bool:
-        """Return whether its places are known for sure."""
-        return self.order_count is not None and self.lost is None
+    def state_known(self) -> bool:
+        """Return whether the contents of its slots are known for certain."""
+        return self.order_count is not None and self.unresolved_order is None
 
     @property
-    def free(self) -> int:
-        """Return how many places hold nothing."""
-        return self.capacity - len(self.places)
+    def free_slots(self) -> int:
+        """Return the number of empty slots."""
+        return self.capacity - len(self.adapter_slots)
 
     @property
-    def coming(self) -> int:
-        """Return how many adapters are on their way."""
-        return sum(place.state is PlaceState.COMING for place in self.places.values())
+    def loading_count(self) -> int:
+        """Return the number of adapters that are being loaded."""
+        return sum(
+            slot.state is SlotState.LOADING for slot in self.adapter_slots.values()
+        )
 
     @property
-    def changing(self) -> bool:
-        """Return whether a place is on its way in or out."""
+    def has_pending_changes(self) -> bool:
+        """Return whether a load or unload is in progress."""
         return any(
-            place.state is not PlaceState.SERVING for place in self.places.values()
+            slot.state is not SlotState.SERVING for slot in self.adapter_slots.values()
         )
 
-    def orderly(self, now: timedelta) -> bool:
-        """Return whether it takes orders, now or as soon as one has ended."""
-        if not self.known or self.model_coming is not None:
+    def accepts_orders(self, now: timedelta) -> bool:
+        """Return whether it accepts orders, at the latest once one in flight ends."""
+        if not self.state_known or self.loading_model is not None:
             return False
-        return self.report_at is None and now >= self.paused_until
+        return self.report_due_at is None and now >= self.paused_until
 
     def can_order(self, now: timedelta) -> bool:
         """Return whether an order may be sent to it now."""
-        return self.orderly(now) and self.sending is None and not self.reporting
+        return (
+            self.accepts_orders(now)
+            and self.order_in_flight is None
+            and not self.report_in_flight
+        )
 
-    def serving(self) -> dict[Adapter, int]:
-        """Return the versions of what it serves; base models have 0."""
-        held = {Adapter(model): 0 for model in self.models}
-        for place in self.places.values():
-            if place.state is PlaceState.SERVING:
-                held[place.adapter] = place.version
-        return held
+    def served_adapters(self) -> dict[Adapter, int]:
+        """Return the versions of what it serves; the version of base models is 0."""
+        served = {Adapter(model): 0 for model in self.models}
+        for slot in self.adapter_slots.values():
+            if slot.state is SlotState.SERVING:
+                served[slot.adapter] = slot.version
+        return served
 
     def serves(self, adapter: Adapter, oldest_version: int) -> bool:
         """Return whether it serves an adapter in that version or a newer one."""
         if not adapter.name:
             return adapter.model in self.models
-        place = self.places.get(adapter)
-        if place is None or place.state is not PlaceState.SERVING:
+        slot = self.adapter_slots.get(adapter)
+        if slot is None or slot.state is not SlotState.SERVING:
             return False
-        return place.version >= oldest_version
+        return slot.version >= oldest_version
 
-    def brings(self, adapter: Adapter, oldest_version: int, now: timedelta) -> bool:
-        """Return whether it is loading an adapter and not long overdue."""
-        order = self.sending
+    def is_loading(self, adapter: Adapter, oldest_version: int, now: timedelta) -> bool:
+        """Return whether it is loading an adapter and the load is not long overdue."""
+        order = self.order_in_flight
         if order is not None and order.kind is OrderKind.LOAD:
             if order.adapter == adapter:
                 return True
-        place = self.places.get(adapter)
-        if place is None or place.state is not PlaceState.COMING:
+        slot = self.adapter_slots.get(adapter)
+        if slot is None or slot.state is not SlotState.LOADING:
             return False
-        overdue = now > place.since + self.cold_load * 4 + OVERDUE
-        return place.version >= oldest_version and not overdue
+        overdue = now > slot.since + self.cold_load_time * 4 + LOAD_OVERDUE_MARGIN
+        return slot.version >= oldest_version and not overdue
 
     def touch(self, adapter: Adapter, now: timedelta) -> None:
-        """Note that an adapter was just used."""
-        place = self.places.get(adapter)
-        if place is not None:
-            place.used_at = now
+        """Record that an adapter was just used."""
+        slot = self.adapter_slots.get(adapter)
+        if slot is not None:
+            slot.used_at = now
 
     def has_copy(self, adapter: Adapter, version: int) -> bool:
-        """Return whether it keeps a copy that loads fast."""
+        """Return whether it keeps a copy, from which a load is fast."""
         return self.copies.get(adapter, -1) >= version
 
-    def load_time(self, adapter: Adapter, version: int) -> timedelta:
+    def expected_load_time(self, adapter: Adapter, version: int) -> timedelta:
         """Return how long a load is expected to take."""
         warm = self.has_copy(adapter, version)
-        return self.warm_load if warm else self.cold_load
+        return self.warm_load_time if warm else self.cold_load_time
 
-    def expect(self, held: dict[Adapter, int], now: timedelta) -> None:
-        """Take what an earlier leader told of its places for true until it reports.
+    def assume_serving(self, served: dict[Adapter, int], now: timedelta) -> None:
+        """Assume the state that the previous leader published, until it reports.
 
-        Requests for what it holds need not wait for its report; orders do.
+        Requests for what it serves need not wait for its report; orders do.
         """
-        for adapter, version in held.items():
+        for adapter, version in served.items():
             if adapter.name:
-                place = EnginePlace(adapter, version, PlaceState.SERVING, now, now)
-                place.used_at = now
-                self._put(place)
-
-    def promise(self, tokens: int, requests: int) -> None:
-        """Note that requests wait for an adapter on its way here."""
-        self.promised += tokens
-        self.promised_requests += requests
-
-    def await_permits(self, adapter: Adapter, requests: int) -> None:
-        """Note that requests for what it serves wait for permits."""
-        self.promised_requests += requests
-        self.awaited.add(adapter)
-
-    def forget_promises(self) -> None:
-        """Count anew what waits for adapters on their way here, and for permits."""
-        self.promised = 0
-        self.promised_requests = 0
-        self.awaited.clear()
+                slot = AdapterSlot(adapter, version, SlotState.SERVING, now, now)
+                slot.used_at = now
+                self._add_slot(slot)
+
+    def reserve(self, tokens: int, requests: int) -> None:
+        """Record that queued requests wait for an adapter that is being loaded here."""
+        self.reserved_tokens += tokens
+        self.reserved_requests += requests
+
+    def reserve_permits(self, adapter: Adapter, requests: int) -> None:
+        """Record that requests for an adapter that it serves wait for permits."""
+        self.reserved_requests += requests
+        self.adapters_awaiting_permits.add(adapter)
+
+    def clear_reservations(self) -> None:
+        """Reset the counts of requests that wait for loads and permits here."""
+        self.reserved_tokens = 0
+        self.reserved_requests = 0
+        self.adapters_awaiting_permits.clear()
 
     # Orders
 
-    def begin(self, order: Order, now: timedelta) -> None:
-        """Note that an order is about to be sent."""
-        self.sending = order
-        self.sent_at = now
+    def begin_order(self, order: Order, now: timedelta) -> None:
+        """Record that an order is about to be sent."""
+        self.order_in_flight = order
+        self.order_sent_at = now
 
-    def answered(self, answer: OrderAnswer, now: timedelta) -> EngineNews:
-        """Take in how the order under way ended."""
-        order, self.sending = self.sending, None
+    def order_answered(self, answer: OrderAnswer, now: timedelta) -> EngineUpdate:
+        """Apply the answer to the order in flight."""
+        order, self.order_in_flight = self.order_in_flight, None
         assert order is not None
-        lost, self.lost = self.lost, None
+        unresolved, self.unresolved_order = self.unresolved_order, None
         if answer is OrderAnswer.UNKNOWN:
-            self.lost = order
-            return EngineNews()
+            self.unresolved_order = order
+            return EngineUpdate()
         if answer is OrderAnswer.NOT_SENT:
-            self.lost = lost
-            self.paused_until = now + REFUSED_PAUSE
-            return EngineNews()
+            self.unresolved_order = unresolved
+            self.paused_until = now + RETRY_PAUSE
+            return EngineUpdate()
         if answer is OrderAnswer.CONFLICT and not order.adapter.name:
             return self._model_answered(order, OrderAnswer.ACCEPTED, now)
         if answer is OrderAnswer.FENCED:
-            # Another instance has ordered it meanwhile: read what it holds now.
-            return self._refused(order, OrderAnswer.REFUSED, now)
+            # Another instance has sent it orders meanwhile: fetch its current state.
+            return self._order_refused(order, OrderAnswer.REFUSED, now)
         if answer in (OrderAnswer.CONFLICT, OrderAnswer.REFUSED):
-            return self._refused(order, answer, now)
+            return self._order_refused(order, answer, now)
         if not order.adapter.name:
             return self._model_answered(order, answer, now)
         if order.kind is OrderKind.LOAD:
             return self._load_answered(order, answer, now)
         return self._unload_answered(order, answer, now)
 
-    def _refused(self, order: Order, answer: OrderAnswer, now: timedelta) -> EngineNews:
-        """Read what it holds: the picture of it was wrong."""
+    def _order_refused(
+        self, order: Order, answer: OrderAnswer, now: timedelta
+    ) -> EngineUpdate:
+        """Schedule the fetch of a report: the known state was wrong."""
         self.order_count = None
-        self.report_at = now + REPORT_LAG
+        self.report_due_at = now + REPORT_DELAY
         if answer is OrderAnswer.REFUSED:
-            self.paused_until = now + REFUSED_PAUSE
-        place = self.places.get(order.adapter)
-        if place is not None and place.state is PlaceState.GOING:
-            place.state = PlaceState.SERVING
-            return EngineNews(serving_changed=True)
-        return EngineNews()
+            self.paused_until = now + RETRY_PAUSE
+        slot = self.adapter_slots.get(order.adapter)
+        if slot is not None and slot.state is SlotState.UNLOADING:
+            slot.state = SlotState.SERVING
+            return EngineUpdate(serving_changed=True)
+        return EngineUpdate()
 
     def _model_answered(
         self, order: Order, answer: OrderAnswer, now: timedelta
-    ) -> EngineNews:
+    ) -> EngineUpdate:
         model = order.adapter.model
-        if self.model_coming is None:
+        if self.loading_model is None:
             self.order_count = order.expected + 1
             cold = model not in self.model_copies
-            self.model_coming = EnginePlace(
-                order.adapter, 0, PlaceState.COMING, now, now, cold
+            self.loading_model = AdapterSlot(
+                order.adapter, 0, SlotState.LOADING, now, now, cold
             )
         if answer is OrderAnswer.ACCEPTED:
-            self.model_coming.look_at = now + LOOK_AT_MODEL
-            return EngineNews()
-        coming, self.model_coming = self.model_coming, None
+            self.loading_model.poll_at = now + MODEL_POLL_INTERVAL
+            return EngineUpdate()
+        loading, self.loading_model = self.loading_model, None
         self.models.add(model)
         self.model_copies.add(model)
-        took = now - coming.since
-        return EngineNews(order.adapter, took, coming.cold, serving_changed=True)
+        duration = now - loading.since
+        return EngineUpdate(order.adapter, duration, loading.cold, serving_changed=True)
 
     def _load_answered(
         self, order: Order, answer: OrderAnswer, now: timedelta
-    ) -> EngineNews:
-        place = self.places.get(order.adapter)
+    ) -> EngineUpdate:
+        slot = self.adapter_slots.get(order.adapter)
         version = order.version if order.version is not None else 1
-        if place is None or place.state is not PlaceState.COMING:
-            place = self._coming(order, version, now)
+        if slot is None or slot.state is not SlotState.LOADING:
+            slot = self._add_loading_slot(order, version, now)
             assert self.order_count is not None
             self.order_count = order.expected + 1
         if answer is OrderAnswer.ACCEPTED:
-            place.look_at = max(place.look_at, now + LOOK_AGAIN)
-            return EngineNews()
-        return self._loaded(place, now)
+            slot.poll_at = max(slot.poll_at, now + LOAD_POLL_INTERVAL)
+            return EngineUpdate()
+        return self._finish_load(slot, now)
 
-    def _coming(self, order: Order, version: int, now: timedelta) -> EnginePlace:
+    def _add_loading_slot(
+        self, order: Order, version: int, now: timedelta
+    ) -> AdapterSlot:
         cold = not self.has_copy(order.adapter, version)
-        expected = self.load_time(order.adapter, version) * FIRST_LOOK_SHARE
-        place = EnginePlace(
+        first_poll = (
+            self.expected_load_time(order.adapter, version) * FIRST_POLL_FRACTION
+        )
+        slot = AdapterSlot(
             order.adapter,
             version,
-            PlaceState.COMING,
+            SlotState.LOADING,
             now,
-            now + expected,
+            now + first_poll,
             cold,
             used_at=now,
         )
-        self._put(place)
-        return place
-
-    def _loaded(self, place: EnginePlace, now: timedelta) -> EngineNews:
-        took = now - place.since
-        place.state = PlaceState.SERVING
-        place.used_at = now
-        self._note_load(took, place.cold)
-        self._copied(place.adapter, place.version)
-        return EngineNews(place.adapter, took, place.cold, True)
-
-    def _note_load(self, took: timedelta, cold: bool) -> None:
-        took = min(took, SLOWEST_LOAD)
+        self._add_slot(slot)
+        return slot
+
+    def _finish_load(self, slot: AdapterSlot, now: timedelta) -> EngineUpdate:
+        duration = now - slot.since
+        slot.state = SlotState.SERVING
+        slot.used_at = now
+        self._update_load_time(duration, slot.cold)
+        self._record_copy(slot.adapter, slot.version)
+        return EngineUpdate(slot.adapter, duration, slot.cold, True)
+
+    def _update_load_time(self, duration: timedelta, cold: bool) -> None:
+        duration = min(duration, MAX_LOAD_TIME)
         if cold:
-            self.cold_load += (took - self.cold_load) * SMOOTHING
+            self.cold_load_time += (duration - self.cold_load_time) * SMOOTHING
         else:
-            self.warm_load += (took - self.warm_load) * SMOOTHING
+            self.warm_load_time += (duration - self.warm_load_time) * SMOOTHING
 
-    def _copied(self, adapter: Adapter, version: int) -> None:
+    def _record_copy(self, adapter: Adapter, version: int) -> None:
         self.copies[adapter] = version
         self.copies.move_to_end(adapter)
-        self._holders.copied(self, adapter)
-        while len(self.copies) > MOST_COPIES:
-            lost, _ = self.copies.popitem(last=False)
-            self._holders.copy_lost(self, lost)
+        self._index.add_copy(self, adapter)
+        while len(self.copies) > MAX_COPIES:
+            evicted, _ = self.copies.popitem(last=False)
+            self._index.remove_copy(self, evicted)
 
     def _unload_answered(
         self, order: Order, answer: OrderAnswer, now: timedelta
-    ) -> EngineNews:
-        place = self.places.get(order.adapter)
-        if place is None:
-            self.report_at = now + REPORT_LAG
-            return EngineNews()
-        if not place.taken:
-            # Only the first of the same orders is counted by the engine.
-            place.taken = True
+    ) -> EngineUpdate:
+        slot = self.adapter_slots.get(order.adapter)
+        if slot is None:
+            self.report_due_at = now + REPORT_DELAY
+            return EngineUpdate()
+        if not slot.unload_accepted:
+            # The engine counts only the first of several identical orders.
+            slot.unload_accepted = True
             self.order_count = order.expected + 1
         if answer is OrderAnswer.ACCEPTED:
-            # It waits for requests that still use it.
-            place.look_at = now + LOOK_AT_GOING
-            return EngineNews()
-        self._remove(order.adapter)
-        self._copied(place.adapter, place.version)
-        return EngineNews()
-
-    def leave(self, adapter: Adapter) -> bool:
-        """Note that a place is about to be emptied; return whether it served."""
-        place = self.places[adapter]
-        served = place.state is PlaceState.SERVING
-        place.state = PlaceState.GOING
-        return served
+            # The engine waits for requests that still use the adapter.
+            slot.poll_at = now + UNLOAD_POLL_INTERVAL
+            return EngineUpdate()
+        self._remove_slot(order.adapter)
+        self._record_copy(slot.adapter, slot.version)
+        return EngineUpdate()
+
+    def begin_unload(self, adapter: Adapter) -> bool:
+        """Mark a slot as being unloaded; return whether it was serving."""
+        slot = self.adapter_slots[adapter]
+        was_serving = slot.state is SlotState.SERVING
+        slot.state = SlotState.UNLOADING
+        return was_serving
 
     # Reports
 
     def ask_again(self, now: timedelta) -> None:
-        """Have the engine asked what it holds: others may have ordered it."""
-        if self.report_at is None:
-            self.report_at = now + REPORT_LAG
-
-    def report_due(self, now: timedelta) -> bool:
-        """Return whether the engine has to be asked what it holds."""
-        if self.reporting or self.sending is not None or self.report_at is None:
+        """Schedule the fetch of a report: another leader may have sent it orders."""
+        if self.report_due_at is None:
+            self.report_due_at = now + REPORT_DELAY
+
+    def is_report_due(self, now: timedelta) -> bool:
+        """Return whether a report of what it holds should be fetched now."""
+        if (
+            self.report_in_flight
+            or self.order_in_flight is not None
+            or self.report_due_at is None
+        ):
             return False
-        return now >= max(self.report_at, self.paused_until)
+        return now >= max(self.report_due_at, self.paused_until)
 
-    def reported(self, report: EngineReport | None, now: timedelta) -> EngineNews:
-        """Take in what the engine says it holds; None if it did not answer."""
-        self.reporting = False
+    def apply_report(self, report: EngineReport | None, now: timedelta) -> EngineUpdate:
+        """Apply the engine's report of what it holds; None if it did not answer."""
+        self.report_in_flight = False
         if report is None:
-            self.report_at = now + REFUSED_PAUSE
-            return EngineNews()
-        if report.born and self._born and report.born != self._born:
-            self._forget_copies()
-        self._born = report.born or self._born
-        self.report_at = None
-        self.lost = None
+            self.report_due_at = now + RETRY_PAUSE
+            return EngineUpdate()
+        if (
+            report.born
+            and self._process_started_at
+            and report.born != self._process_started_at
+        ):
+            self._clear_copies()
+        self._process_started_at = report.born or self._process_started_at
+        self.report_due_at = None
+        self.unresolved_order = None
         self.order_count = report.order_count
         self.models = set(report.models)
         self.model_copies = set(report.model_copies) | self.models
-        self.model_coming = None
-        known = dict(self.places)
-        for adapter in known:
-            self._remove(adapter)
+        self.loading_model = None
+        previous = dict(self.adapter_slots)
+        for adapter in previous:
+            self._remove_slot(adapter)
         for adapter, version in report.adapters.items():
-            self._restore(known, adapter, version, PlaceState.SERVING, now)
+            self._restore_slot(previous, adapter, version, SlotState.SERVING, now)
         for adapter, version in report.coming.items():
-            self._restore(known, adapter, version, PlaceState.COMING, now)
-        return EngineNews(serving_changed=True)
+            self._restore_slot(previous, adapter, version, SlotState.LOADING, now)
+        return EngineUpdate(serving_changed=True)
 
-    def _forget_copies(self) -> None:
-        """Take its copies for gone: it has started again."""
+    def _clear_copies(self) -> None:
+        """Forget its copies: they were lost when the engine restarted."""
         for adapter in self.copies:
-            self._holders.copy_lost(self, adapter)
+            self._index.remove_copy(self, adapter)
         self.copies.clear()
 
-    def _restore(
+    def _restore_slot(
         self,
-        known: dict[Adapter, EnginePlace],
+        previous: dict[Adapter, AdapterSlot],
         adapter: Adapter,
         version: int,
-        state: PlaceState,
+        state: SlotState,
         now: timedelta,
     ) -> None:
-        before = known.get(adapter)
-        place = EnginePlace(adapter, version, state, now, now, used_at=now)
+        """Add a reported slot; keep when its adapter was last used, if known."""
+        before = previous.get(adapter)
+        slot = AdapterSlot(adapter, version, state, now, now, used_at=now)
         if before is not None:
-            place.used_at = before.used_at
-        self._put(place)
-        if state is PlaceState.SERVING:
-            self._copied(adapter, version)
+            slot.used_at = before.used_at
+        self._add_slot(slot)
+        if state is SlotState.SERVING:
+            self._record_copy(adapter, version)
--- a/packages/ashhoist/src/ashhoist/placement/engine_orders.py
+++ b/packages/ashhoist/src/ashhoist/placement/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders and questions to engines: sent one at a time, looked after until they end."""
+"""Orders and report requests to engines, sent one at a time and polled until done."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..orders.order import Order, OrderKind
 from .actions import AskReport, SchedulerAction, Serving
-from .engine import Engine, EnginePlace, PlaceState
+from .engine import AdapterSlot, Engine, SlotState
 
 
 class EngineOrders:
@@ -16,58 +16,58 @@
 
     Parameters
     ----------
-    act : callable
+    execute : callable
         Carries out an action.
     """
 
-    def __init__(self, act: Callable[[SchedulerAction], None], clock: Clock) -> None:
-        self._act = act
+    def __init__(
+        self, execute: Callable[[SchedulerAction], None], clock: Clock
+    ) -> None:
+        self._execute = execute
         self._clock = clock
-        self._sent = 0
+        self._last_number = 0
 
-    def look_after(self, engine: Engine, open_zones: set[str], now: timedelta) -> None:
-        """Ask what has to be asked: lost orders, reports, loads that should end.
+    def follow_up(self, engine: Engine, open_zones: set[str], now: timedelta) -> None:
+        """Fetch a due report, repeat an unresolved order, or poll a load or unload.
 
         Parameters
         ----------
         open_zones : set of str
-            The zones whose engines orders reach now.
+            The availability zones to whose engines orders may be sent now.
         """
-        if engine.report_due(now):
-            engine.reporting = True
-            self._act(AskReport(engine.id, engine.upstream.address))
+        if engine.is_report_due(now):
+            engine.report_in_flight = True
+            self._execute(AskReport(engine.id, engine.upstream.address))
             return
-        if engine.sending is not None or now < engine.paused_until:
+        if engine.order_in_flight is not None or now < engine.paused_until:
             return
         if engine.upstream.zone not in open_zones:
             return
-        if engine.lost is not None:
-            self._send(engine, engine.lost)
-        elif engine.model_coming is not None:
-            self._look_at_model(engine, engine.model_coming, now)
+        if engine.unresolved_order is not None:
+            self._send(engine, engine.unresolved_order)
+        elif engine.loading_model is not None:
+            self._poll_model(engine, engine.loading_model, now)
         elif engine.can_order(now):
-            self._look_at_places(engine, now)
+            self._poll_slots(engine, now)
 
-    def _look_at_model(
-        self, engine: Engine, model: EnginePlace, now: timedelta
-    ) -> None:
-        if model.look_at <= now:
+    def _poll_model(self, engine: Engine, model: AdapterSlot, now: timedelta) -> None:
+        if model.poll_at <= now:
             self.load(engine, model.adapter, 0)
 
-    def _look_at_places(self, engine: Engine, now: timedelta) -> None:
-        """Repeat the first order that should have ended: its answer tells."""
-        for place in engine.places.values():
-            if place.look_at > now:
+    def _poll_slots(self, engine: Engine, now: timedelta) -> None:
+        """Repeat the first order that should have ended: the answer gives its state."""
+        for slot in engine.adapter_slots.values():
+            if slot.poll_at > now:
                 continue
-            if place.state is PlaceState.COMING:
-                self.load(engine, place.adapter, place.version)
+            if slot.state is SlotState.LOADING:
+                self.load(engine, slot.adapter, slot.version)
                 return
-            if place.state is PlaceState.GOING:
-                self.unload(engine, place.adapter)
+            if slot.state is SlotState.UNLOADING:
+                self.unload(engine, slot.adapter)
                 return
 
     def load(self, engine: Engine, adapter: Adapter, version: int) -> None:
-        """Order a load; version 0 is the newest."""
+        """Order an engine to load an adapter; version 0 is the newest."""
         assert engine.order_count is not None
         order = Order(
             engine.id,
@@ -81,10 +81,10 @@
         self._send(engine, order)
 
     def unload(self, engine: Engine, adapter: Adapter) -> None:
-        """Order that a place is emptied."""
+        """Order an engine to unload an adapter."""
         assert engine.order_count is not None
-        if engine.leave(adapter):
-            self._act(Serving(engine.id, engine.serving()))
+        if engine.begin_unload(adapter):
+            self._execute(Serving(engine.id, engine.served_adapters()))
         order = Order(
             engine.id,
             engine.upstream.address,
@@ -96,7 +96,7 @@
         self._send(engine, order)
 
     def _send(self, engine: Engine, order: Order) -> None:
-        self._sent += 1
-        order = replace(order, number=self._sent)
-        engine.begin(order, self._clock.monotonic())
-        self._act(order)
+        self._last_number += 1
+        order = replace(order, number=self._last_number)
+        engine.begin_order(order, self._clock.monotonic())
+        self._execute(order)
--- a/packages/ashhoist/src/ashhoist/placement/holders.py
+++ b/packages/ashhoist/src/ashhoist/placement/holders.py
@@ -1,8 +1,8 @@
-"""Which engines hold which adapters, or keep copies of them, looked up by adapter.
+"""An index from adapters to the engines that hold them or keep copies of them.
 
-Engines note each change here. To look through all engines for each request would cost
-the more the more engines there are: 0.24 s for a round of 90 waiting requests before
-1,000 engines, where this takes a few milliseconds.
+Each engine updates the index when its state changes. Scanning all engines for every
+request takes time in proportion to the number of engines: with 1,000 engines a planning
+round of 90 waiting requests took 0.24 s; with the index it takes a few milliseconds.
 """
 
 from typing import TYPE_CHECKING
@@ -13,46 +13,46 @@
     from .engine import Engine
 
 EnginesById = dict[str, "Engine"]
-NOBODY: EnginesById = {}
+NO_ENGINES: EnginesById = {}
 
 
-class Holders:
-    """Engines by what is in their places, and by what they keep copies of."""
+class AdapterIndex:
+    """Engines by the adapters in their slots, and by those that they have copies of."""
 
     def __init__(self) -> None:
-        self._places: dict[Adapter, EnginesById] = {}
+        self._holding: dict[Adapter, EnginesById] = {}
         self._copies: dict[Adapter, EnginesById] = {}
 
-    def of(self, adapter: Adapter) -> EnginesById:
-        """Return the engines with an adapter in a place: coming, serving or going."""
-        return self._places.get(adapter, NOBODY)
+    def holding(self, adapter: Adapter) -> EnginesById:
+        """Return the engines with an adapter in a slot, in any state."""
+        return self._holding.get(adapter, NO_ENGINES)
 
     def with_copy(self, adapter: Adapter) -> EnginesById:
         """Return the engines that probably keep a copy of an adapter."""
-        return self._copies.get(adapter, NOBODY)
+        return self._copies.get(adapter, NO_ENGINES)
 
-    def placed(self, engine: "Engine", adapter: Adapter) -> None:
-        """Note that an adapter has a place at an engine."""
-        self._places.setdefault(adapter, {})[engine.id] = engine
+    def add(self, engine: "Engine", adapter: Adapter) -> None:
+        """Record that an adapter is in a slot of an engine."""
+        self._holding.setdefault(adapter, {})[engine.id] = engine
 
-    def removed(self, engine: "Engine", adapter: Adapter) -> None:
-        """Note that an adapter has no place at an engine any more."""
-        _discard(self._places, engine, adapter)
+    def remove(self, engine: "Engine", adapter: Adapter) -> None:
+        """Record that an adapter is no longer in a slot of an engine."""
+        _discard(self._holding, engine, adapter)
 
-    def copied(self, engine: "Engine", adapter: Adapter) -> None:
-        """Note that an engine keeps a copy of an adapter."""
+    def add_copy(self, engine: "Engine", adapter: Adapter) -> None:
+        """Record that an engine keeps a copy of an adapter."""
         self._copies.setdefault(adapter, {})[engine.id] = engine
 
-    def copy_lost(self, engine: "Engine", adapter: Adapter) -> None:
-        """Note that an engine keeps no copy of an adapter any more."""
+    def remove_copy(self, engine: "Engine", adapter: Adapter) -> None:
+        """Record that an engine no longer keeps a copy of an adapter."""
         _discard(self._copies, engine, adapter)
 
-    def forget(self, engine: "Engine") -> None:
-        """Forget an engine that has gone."""
-        for adapter in engine.places:
-            self.removed(engine, adapter)
+    def remove_engine(self, engine: "Engine") -> None:
+        """Remove an engine that no longer exists."""
+        for adapter in engine.adapter_slots:
+            self.remove(engine, adapter)
         for adapter in engine.copies:
-            self.copy_lost(engine, adapter)
+            self.remove_copy(engine, adapter)
 
 
 def _discard(
--- a/packages/ashhoist/src/ashhoist/placement/limited_engines.py
+++ b/packages/ashhoist/src/ashhoist/placement/limited_engines.py
@@ -1,23 +1,23 @@
-"""Engines that have named a limit: what waits for a permit to be sent there."""
+"""Engines with a rate limit, and the queued requests that wait for their permits."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
 from .engine import Engine
 from .permits import EnginePermits
-from .wants import Want, WantedAdapter, Wants
+from .wants import AdapterDemand, PendingRequests, Want
 
 
 class LimitedEngines:
-    """The engines that take only so many requests a second.
+    """The engines that accept a limited number of requests per second.
 
     Parameters
     ----------
-    serving : callable
-        Returns the engines that serve a request's adapter.
-    wait_at : callable
-        Takes an engine and the tokens of a prompt; returns the wait for its first
-        token, that for a permit included.
+    engines_serving : callable
+        Returns the engines that serve the adapter of a request.
+    first_token_wait : callable
+        Takes an engine and the length of a prompt; returns the expected time to its
+        first token, including the wait for a permit.
     send : callable
         Sends a request to an engine.
     """
@@ -25,101 +25,111 @@
     def __init__(
         self,
         permits: EnginePermits,
-        wants: Wants,
-        serving: Callable[[Want], list[Engine]],
-        wait_at: Callable[[Engine, int], timedelta],
+        pending: PendingRequests,
+        engines_serving: Callable[[Want], list[Engine]],
+        first_token_wait: Callable[[Engine, int], timedelta],
         send: Callable[[Engine, Want], None],
     ) -> None:
         self._permits = permits
-        self._wants = wants
-        self._serving = serving
-        self._wait_at = wait_at
+        self._pending = pending
+        self._engines_serving = engines_serving
+        self._first_token_wait = first_token_wait
         self._send = send
-        self._found: list[Engine] = []
+        self._limited: list[Engine] = []
 
-    def wait(self, engine: Engine) -> timedelta:
-        """Return when an engine can be sent one more, behind all that wait for it."""
-        return self._permits.wait(engine.id, engine.promised_requests)
+    def permit_wait(self, engine: Engine) -> timedelta:
+        """Return how long until a permit is free, behind all reserved requests."""
+        return self._permits.wait(engine.id, engine.reserved_requests)
 
     def begin_round(self, engines: Iterable[Engine]) -> None:
-        """Send what can be sent now, and count what has to wait for a permit."""
-        self._found = [engine for engine in engines if self._permits.limited(engine.id)]
-        for engine in self._found:
+        """Send the requests that have a permit, and reserve permits for the others."""
+        self._limited = [
+            engine for engine in engines if self._permits.limited(engine.id)
+        ]
+        for engine in self._limited:
             self._send_permitted(engine)
-        if self._found:
-            self._count_waiting()
+        if self._limited:
+            self._reserve_permits()
 
     def _send_permitted(self, engine: Engine) -> None:
-        """Send what waits for an engine, most worth first; the rest gives way."""
-        for want in self._waiting_for(engine):
+        """Send requests to an engine, most valuable first, while it has permits."""
+        for request in self._requests_for(engine):
             if self._permits.wait(engine.id):
                 return
-            self._wants.remove(want.id)
-            self._send(engine, want)
+            self._pending.remove(request.id)
+            self._send(engine, request)
 
-    def _waiting_for(self, engine: Engine) -> list[Want]:
-        """Return the requests that wait for what an engine serves, most worth first."""
+    def _requests_for(self, engine: Engine) -> list[Want]:
+        """Return the queued requests that an engine can serve, most valuable first."""
         found: list[Want] = []
-        for adapter in engine.serving():
-            wanted = self._wants.of(engine.upstream.service, adapter)
-            if wanted is None:
+        for adapter in engine.served_adapters():
+            demand = self._pending.demand_for(engine.upstream.service, adapter)
+            if demand is None:
                 continue
-            for want in wanted.by_id.values():
-                fits = engine.serves(adapter, want.oldest_version)
-                if fits and engine.id not in want.tried:
-                    found.append(want)
-        return sorted(found, key=lambda want: want.worth, reverse=True)
+            for request in demand.by_id.values():
+                is_served = engine.serves(adapter, request.oldest_version)
+                if is_served and engine.id not in request.tried:
+                    found.append(request)
+        return sorted(found, key=lambda request: request.worth, reverse=True)
 
-    def _count_waiting(self) -> None:
-        """Count what waits for permits at the engines that serve its adapter.
+    def _reserve_permits(self) -> None:
+        """Reserve permits for queued requests at the engines that serve their adapter.
 
-        Else each of them would look as if its next permit were for one more, and what
-        they serve to those that wait would be unloaded as unused.
+        Otherwise the next permit of an engine would be offered to every request, and
+        the adapters of the requests that wait would be evicted as unused.
         """
-        for wanted in self._wants.adapters():
-            serving = self._serving_alone(wanted)
+        for demand in self._pending.demands():
+            serving = self._serving_if_all_limited(demand)
             if not serving:
                 continue
-            soonest = min(serving, key=lambda engine: self._wait_at(engine, 0))
-            soonest.await_permits(wanted.adapter, len(wanted.by_id))
+            soonest = min(serving, key=lambda engine: self._first_token_wait(engine, 0))
+            soonest.reserve_permits(demand.adapter, len(demand.by_id))
 
-    def _serving_alone(self, wanted: WantedAdapter) -> list[Engine]:
-        """Return the engines that serve an adapter; none if one is not limited."""
-        serving = self._serving(next(iter(wanted.by_id.values())))
+    def _serving_if_all_limited(self, demand: AdapterDemand) -> list[Engine]:
+        """Return the engines that serve an adapter; none if one has no rate limit."""
+        serving = self._engines_serving(next(iter(demand.by_id.values())))
         if not all(self._permits.limited(engine.id) for engine in serving):
             return []
         return serving
 
-    def serve_sooner(self, wanted: WantedAdapter, loading: Engine) -> bool:
-        """Return whether all that wait are sent before a load elsewhere would end."""
-        if not self._found:
+    def serve_sooner(self, demand: AdapterDemand, loading: Engine) -> bool:
+        """Return whether engines that serve the adapter answer before a new load would.
+
+        Parameters
+        ----------
+        loading : Engine
+            The engine that would load the adapter.
+        """
+        if not self._limited:
             return False
-        serving = self._serving_alone(wanted)
+        serving = self._serving_if_all_limited(demand)
         if not serving:
             return False
-        tokens = wanted.most_tokens
-        wait = min(self._wait_at(engine, tokens) for engine in serving)
-        load = loading.load_time(wanted.adapter, wanted.oldest_version)
-        return wait <= load + self._wait_at(loading, tokens)
+        tokens = demand.max_tokens
+        wait = min(self._first_token_wait(engine, tokens) for engine in serving)
+        load_time = loading.expected_load_time(demand.adapter, demand.oldest_version)
+        return wait <= load_time + self._first_token_wait(loading, tokens)
 
-    def wait_if_all(
-        self, want: Want, ahead: int, engines: list[Engine]
+    def wait_if_all_limited(
+        self, request: Want, ahead: int, engines: list[Engine]
     ) -> timedelta | None:
-        """Return when a request can be sent if no engine takes whatever comes.
+        """Return how long until a request can be sent, if all engines are limited.
 
         Parameters
         ----------
         ahead : int
-            Requests that wait for the same adapter before it.
+            Number of queued requests for the same adapter before it.
         engines : list of Engine
-            All that it could be sent to.
+            All engines that it could be sent to.
 
         Returns
         -------
         timedelta or None
-            None if one of the engines is not limited, or there is none.
+            None if one of the engines has no rate limit, or there are no engines.
         """
-        if not engines or not all(self._permits.limited(one.id) for one in engines):
+        if not engines or not all(
+            self._permits.limited(candidate.id) for candidate in engines
+        ):
             return None
-        serving = self._serving(want) or engines
+        serving = self._engines_serving(request) or engines
         return min(self._permits.wait(engine.id, ahead) for engine in serving)
--- a/packages/ashhoist/src/ashhoist/placement/permits.py
+++ b/packages/ashhoist/src/ashhoist/placement/permits.py
@@ -1,31 +1,31 @@
-"""Sends to engines that have named a limit, as whoever places requests sees them."""
+"""Sends to engines with a rate limit, as the scheduler sees them."""
 
 from datetime import timedelta
 from typing import Protocol
 
 
 class EnginePermits(Protocol):
-    """How many more requests engines take just now."""
+    """How many more requests each engine accepts now."""
 
     def limited(self, upstream_id: str) -> bool:
-        """Return whether an engine takes only so many requests a second."""
+        """Return whether an engine has a limit on requests per second."""
 
     def wait(self, upstream_id: str, ahead: int = 0) -> timedelta:
-        """Return when one request can be sent there behind `ahead` others."""
+        """Return how long until one request can be sent there behind `ahead` others."""
 
     def take(self, upstream_id: str) -> bool:
-        """Take one send; return False if it can't be sent yet."""
+        """Take a permit for one send; return False if none is available yet."""
 
 
 class NoLimits:
-    """Engines that take whatever comes."""
+    """Permits where no engine has a rate limit."""
 
     def limited(self, upstream_id: str) -> bool:
         """Return False."""
         return False
 
     def wait(self, upstream_id: str, ahead: int = 0) -> timedelta:
-        """Return no time at all."""
+        """Return zero."""
         return timedelta()
 
     def take(self, upstream_id: str) -> bool:
--- a/packages/ashhoist/src/ashhoist/placement/popularity.py
+++ b/packages/ashhoist/src/ashhoist/placement/popularity.py
@@ -1,4 +1,4 @@
-"""How often adapters are asked for: rates that fade."""
+"""Request rates of adapters, as exponentially decaying counts."""
 
 import math
 from dataclasses import dataclass
@@ -8,56 +8,63 @@
 from ..clock import Clock
 
 HALF_LIFE = timedelta(seconds=10)
-MOST_KEPT = 20_000
-NEGLIGIBLE = 0.01
+MAX_TRACKED_ADAPTERS = 20_000
+MIN_TRACKED_COUNT = 0.01
+"""Adapters with a lower count are dropped when too many are tracked."""
 
 
 @dataclass(slots=True)
-class _Rate:
-    """A count that halves with each half-life."""
+class _DecayingCount:
+    """A count that is halved in each half-life."""
 
     count: float
-    at: timedelta
+    updated_at: timedelta
 
 
 class Popularity:
-    """Faded counts of requests, by adapter."""
+    """Decaying request counts by adapter and by base model."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._by_adapter: dict[Adapter, _Rate] = {}
-        self._by_model: dict[str, _Rate] = {}
+        self._by_adapter: dict[Adapter, _DecayingCount] = {}
+        self._by_model: dict[str, _DecayingCount] = {}
 
-    def asked(self, adapter: Adapter) -> None:
-        """Count a request."""
+    def record_request(self, adapter: Adapter) -> None:
+        """Count a request for an adapter and for its base model."""
         now = self._clock.monotonic()
         if adapter not in self._by_adapter:
-            self._forget(now)
-        self._count(self._by_adapter.setdefault(adapter, _Rate(0.0, now)), now)
-        self._count(self._by_model.setdefault(adapter.model, _Rate(0.0, now)), now)
+            self._prune(now)
+        self._increment(
+            self._by_adapter.setdefault(adapter, _DecayingCount(0.0, now)), now
+        )
+        self._increment(
+            self._by_model.setdefault(adapter.model, _DecayingCount(0.0, now)), now
+        )
 
-    def _count(self, rate: _Rate, now: timedelta) -> None:
-        rate.count = self._faded(rate, now) + 1.0
-        rate.at = now
+    def _increment(self, counter: _DecayingCount, now: timedelta) -> None:
+        counter.count = self._decayed(counter, now) + 1.0
+        counter.updated_at = now
 
     def model_rate(self, model: str) -> float:
-        """Return the faded count of a base model and all its adapters."""
-        rate = self._by_model.get(model)
-        return 0.0 if rate is None else self._faded(rate, self._clock.monotonic())
+        """Return the decayed count of a base model and all its adapters."""
+        counter = self._by_model.get(model)
+        return (
+            0.0 if counter is None else self._decayed(counter, self._clock.monotonic())
+        )
 
     def rate(self, adapter: Adapter) -> float:
-        """Return the faded count."""
-        rate = self._by_adapter.get(adapter)
-        if rate is None:
+        """Return the decayed count of an adapter."""
+        counter = self._by_adapter.get(adapter)
+        if counter is None:
             return 0.0
-        return self._faded(rate, self._clock.monotonic())
+        return self._decayed(counter, self._clock.monotonic())
 
-    def _faded(self, rate: _Rate, now: timedelta) -> float:
-        return rate.count * math.pow(0.5, (now - rate.at) / HALF_LIFE)
+    def _decayed(self, counter: _DecayingCount, now: timedelta) -> float:
+        return counter.count * math.pow(0.5, (now - counter.updated_at) / HALF_LIFE)
 
-    def _forget(self, now: timedelta) -> None:
-        if len(self._by_adapter) <= MOST_KEPT:
+    def _prune(self, now: timedelta) -> None:
+        if len(self._by_adapter) <= MAX_TRACKED_ADAPTERS:
             return
-        for adapter, rate in list(self._by_adapter.items()):
-            if self._faded(rate, now) < NEGLIGIBLE:
+        for adapter, counter in list(self._by_adapter.items()):
+            if self._decayed(counter, now) < MIN_TRACKED_COUNT:
                 del self._by_adapter[adapter]
--- a/packages/ashhoist/src/ashhoist/placement/residency.py
+++ b/packages/ashhoist/src/ashhoist/placement/residency.py
@@ -1,4 +1,4 @@
-"""Which engines serve which adapters now, as every instance sees it."""
+"""Which engines serve which adapters, as known to every instance."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -7,18 +7,18 @@
 
 from ..adapter import Adapter
 
-MOST_COPIES = 36
-"""Adapters that an engine keeps copies of outside its own memory."""
+MAX_COPIES = 36
+"""Number of adapters that an engine keeps copies of outside its own memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """An adapter that an engine serves.
+    """An engine that serves an adapter.
 
     Parameters
     ----------
     version : int
-        Of the adapter; 0 where it is not known.
+        The version of the adapter; 0 if unknown.
     """
 
     upstream: str
@@ -26,90 +26,104 @@
 
 
 class Residency:
-    """Places by adapter, in `view`.
+    """The adapters that engines serve; `view` maps each adapter to its engines.
 
     Notes
     -----
-    What a holder of the lease with a lower token says is passed over.
+    Updates from a leader with a lower epoch are ignored.
     """
 
     def __init__(self) -> None:
         self._by_upstream: dict[str, dict[Adapter, int]] = {}
-        self._tokens: dict[str, int] = {}
+        self._epochs: dict[str, int] = {}
         self._copies: dict[str, OrderedDict[Adapter, int]] = {}
         self._places: dict[Adapter, tuple[Place, ...]] = {}
         self.view = MappingProxyType(self._places)
 
-    def put(self, token: int, upstream: str, held: dict[Adapter, int]) -> bool:
-        """Take in all that an engine serves; return whether it was news."""
-        if token < self._tokens.get(upstream, -1):
+    def put(self, epoch: int, upstream: str, served: dict[Adapter, int]) -> bool:
+        """Replace all that an engine serves; return whether anything changed.
+
+        Parameters
+        ----------
+        epoch : int
+            The epoch of the leader that published this.
+        served : dict
+            The versions of all adapters that the engine serves.
+        """
+        if epoch < self._epochs.get(upstream, -1):
             return False
-        self._tokens[upstream] = token
+        self._epochs[upstream] = epoch
         before = self._by_upstream.get(upstream, {})
-        if upstream in self._by_upstream and before == held:
+        if upstream in self._by_upstream and before == served:
             return False
-        self._note_copies(upstream, held)
-        self._by_upstream[upstream] = dict(held)
-        self._place(upstream, before, held)
+        self._record_copies(upstream, served)
+        self._by_upstream[upstream] = dict(served)
+        self._update_places(upstream, before, served)
         return True
 
     def change(
         self,
-        token: int,
+        epoch: int,
         upstream: str,
-        served: dict[Adapter, int],
-        gone: Iterable[Adapter],
+        added: dict[Adapter, int],
+        removed: Iterable[Adapter],
     ) -> bool:
-        """Take in a change of what an engine serves; return whether it was news.
+        """Apply a change of what an engine serves; return whether anything changed.
+
+        A change is relative to what the same leader has published before; what an
+        earlier leader has published is dropped.
 
         Parameters
         ----------
-        served : dict
-            What it serves anew, with versions.
-        gone : iterable of Adapter
-            What it serves no more.
+        epoch : int
+            The epoch of the leader that published this.
+        added : dict
+            Adapters that the engine serves now, or in another version than before.
+        removed : iterable of Adapter
+            Adapters that it no longer serves.
         """
-        is_told_before = self._tokens.get(upstream) == token
-        held = self.of(upstream) | served if is_told_before else dict(served)
-        for adapter in gone:
-            held.pop(adapter, None)
-        return self.put(token, upstream, held)
-
-    def _note_copies(self, upstream: str, held: dict[Adapter, int]) -> None:
-        """Remember what was loaded: an engine keeps copies for a while."""
+        is_same_epoch = self._epochs.get(upstream) == epoch
+        served = self.of(upstream) | added if is_same_epoch else dict(added)
+        for adapter in removed:
+            served.pop(adapter, None)
+        return self.put(epoch, upstream, served)
+
+    def _record_copies(self, upstream: str, served: dict[Adapter, int]) -> None:
+        """Record newly loaded adapters: an engine keeps copies for a while."""
         before = self._by_upstream.get(upstream, {})
         copies = self._copies.setdefault(upstream, OrderedDict())
-        for adapter, version in held.items():
+        for adapter, version in served.items():
             if not adapter.name or before.get(adapter) == version:
                 continue
             copies[adapter] = version
             copies.move_to_end(adapter)
-        while len(copies) > MOST_COPIES:
+        while len(copies) > MAX_COPIES:
             copies.popitem(last=False)
 
     def copies(self, upstream: str) -> "OrderedDict[Adapter, int]":
-        """Return the versions that an engine probably has copies of."""
+        """Return the versions of the adapters that an engine probably has copies of."""
         return OrderedDict(self._copies.get(upstream, {}))
 
     def of(self, upstream: str) -> dict[Adapter, int]:
-        """Return what an engine serves."""
+        """Return the versions of the adapters that an engine serves."""
         return dict(self._by_upstream.get(upstream, {}))
 
     def forget(self, upstream: str) -> None:
-        """Forget an engine that has gone."""
-        self._tokens.pop(upstream, None)
+        """Remove an engine that no longer exists."""
+        self._epochs.pop(upstream, None)
         self._copies.pop(upstream, None)
-        self._place(upstream, self._by_upstream.pop(upstream, {}), {})
+        self._update_places(upstream, self._by_upstream.pop(upstream, {}), {})
 
-    def _place(
-        self, upstream: str, before: dict[Adapter, int], held: dict[Adapter, int]
+    def _update_places(
+        self, upstream: str, before: dict[Adapter, int], served: dict[Adapter, int]
     ) -> None:
-        """Change the places of those adapters that an engine holds no longer, or anew.
+        """Update the places of the adapters whose version at an engine has changed.
 
-        The others stay as they are: there are thousands, and few change at once.
+        Those of all other adapters are left alone: there are thousands of adapters, and
+        few change at once.
         """
-        for adapter in before.keys() | held.keys():
-            version = held.get(adapter)
+        for adapter in before.keys() | served.keys():
+            version = served.get(adapter)
             if before.get(adapter) == version:
                 continue
             places = [
--- a/packages/ashhoist/src/ashhoist/placement/rounds.py
+++ b/packages/ashhoist/src/ashhoist/placement/rounds.py
@@ -1,4 +1,4 @@
-"""One round of planning: what is loaded next, where, and what gives way for it."""
+"""One planning round: which adapters are loaded next, where, and which are evicted."""
 
 import itertools
 import math
@@ -9,233 +9,267 @@
 from ..adapter import Adapter
 from ..orders.order import OrderKind
 from .candidates import Candidates
-from .engine import COLD_LOAD, MOST_COMING, WARM_LOAD, Engine, PlaceState
-from .holders import Holders
+from .engine import (
+    COLD_LOAD_TIME,
+    MAX_CONCURRENT_LOADS,
+    WARM_LOAD_TIME,
+    Engine,
+    SlotState,
+)
+from .holders import AdapterIndex
 from .popularity import Popularity
-from .wants import WantedAdapter
+from .wants import AdapterDemand
 
-REST_BEFORE_EVICTION = timedelta(milliseconds=60)
+MIN_IDLE_BEFORE_EVICTION = timedelta(milliseconds=60)
 OTHER_ZONE_COST = 0.02
 COPY_COST = 0.004
-FULL_COST = 0.1
+"""For each copy that the engine keeps."""
+OCCUPANCY_COST = 0.1
+"""For an engine whose slots are all occupied; in proportion otherwise."""
 COLD_COST = 0.9
-"""What a load from the weight store costs, told as seconds of waiting."""
-LOAD_PRICE = 0.74
-"""Of a load from the weight store, in what answers are worth."""
-FIRST_TOKEN = timedelta(milliseconds=350)
+"""Cost of a load from the weight store, in seconds of waiting like the costs above."""
+COLD_LOAD_PRICE = 0.74
+"""Price of a load from the weight store, in the unit of the value of answers."""
+EXPECTED_FIRST_TOKEN_TIME = timedelta(milliseconds=350)
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """A place at an engine, free once `after` has been unloaded."""
+class AvailableSlot:
+    """A slot of an engine that an adapter can be loaded into.
 
-    after: Adapter | None = None
+    Parameters
+    ----------
+    evict : Adapter or None
+        The adapter that must be unloaded first.
+    """
 
+    evict: Adapter | None = None
 
-def room_for(
+
+def find_slot(
     engine: Engine, adapter: Adapter, popularity: Popularity, now: timedelta
-) -> Room | None:
-    """Return the room that an engine has for an adapter, or None."""
-    held = engine.places.get(adapter)
-    if held is not None:
-        unused = held.state is PlaceState.SERVING and not engine.work.uses(adapter)
-        return Room(adapter) if unused else None
-    return spare_room(engine, popularity, now)
-
-
-def spare_room(engine: Engine, popularity: Popularity, now: timedelta) -> Room | None:
-    """Return the room that an engine has for what it does not hold yet, or None."""
-    if engine.free > 0:
-        return Room()
+) -> AvailableSlot | None:
+    """Return the slot that an engine has available for an adapter, or None."""
+    slot = engine.adapter_slots.get(adapter)
+    if slot is not None:
+        unused = slot.state is SlotState.SERVING and not engine.inflight.count(adapter)
+        return AvailableSlot(adapter) if unused else None
+    return find_spare_slot(engine, popularity, now)
+
+
+def find_spare_slot(
+    engine: Engine, popularity: Popularity, now: timedelta
+) -> AvailableSlot | None:
+    """Return the slot available for an adapter that the engine does not hold."""
+    if engine.free_slots > 0:
+        return AvailableSlot()
     idle = [
-        place
-        for place in engine.places.values()
-        if place.state is PlaceState.SERVING
-        and not engine.work.uses(place.adapter)
-        and place.adapter not in engine.awaited
-        and now - place.used_at >= REST_BEFORE_EVICTION
+        slot
+        for slot in engine.adapter_slots.values()
+        if slot.state is SlotState.SERVING
+        and not engine.inflight.count(slot.adapter)
+        and slot.adapter not in engine.adapters_awaiting_permits
+        and now - slot.used_at >= MIN_IDLE_BEFORE_EVICTION
     ]
     if not idle:
         return None
-    rarest = min(idle, key=lambda place: popularity.rate(place.adapter))
-    return Room(rarest.adapter)
+    least_popular = min(idle, key=lambda slot: popularity.rate(slot.adapter))
+    return AvailableSlot(least_popular.adapter)
 
 
-class Round:
-    """What holds for all requests that wait while one round is planned.
+class PlanningRound:
+    """The state shared by all queued requests while one round is planned.
 
     Parameters
     ----------
     engines : iterable of Engine
         All engines.
-    holders : Holders
-        Which of them hold what.
+    index : AdapterIndex
+        Which of them hold which adapters.
     open_zones : set of str
-        The zones whose engines orders reach now.
-    waiting : iterable of WantedAdapter
-        All adapters that requests wait for.
-    wait_at : callable
-        Takes an engine and the tokens of a prompt; returns the wait for its first
-        token.
+        The availability zones to whose engines orders may be sent now.
+    demands : iterable of AdapterDemand
+        The queued requests, grouped by adapter.
+    first_token_wait : callable
+        Takes an engine and the length of a prompt; returns the expected time to its
+        first token.
     permit_wait : callable
-        Takes an engine; returns when one more request can be sent there, which is at
-        once unless it has named a limit.
+        Takes an engine; returns how long until one more request can be sent there: no
+        time unless it has a rate limit.
     """
 
     def __init__(
         self,
         engines: Iterable[Engine],
-        holders: Holders,
+        index: AdapterIndex,
         open_zones: set[str],
         popularity: Popularity,
-        waiting: Iterable[WantedAdapter],
-        wait_at: Callable[[Engine, int], timedelta],
+        demands: Iterable[AdapterDemand],
+        first_token_wait: Callable[[Engine, int], timedelta],
         permit_wait: Callable[[Engine], timedelta],
         now: timedelta,
     ) -> None:
         engines = list(engines)
-        self._holders = holders
+        self._index = index
         self._popularity = popularity
-        self._wait_at = wait_at
+        self._first_token_wait = first_token_wait
         self._permit_wait = permit_wait
         self._now = now
         self._open_zones = open_zones
-        self._spare: dict[str, Room | None] = {}
-        self._sending = _loads_being_sent(engines)
-        self._on_its_way: dict[int, WantedAdapter] = {}
-        self._note_promised(waiting)
-        self._able = {engine.id: engine for engine in engines if self._is_able(engine)}
+        self._spare_slots: dict[str, AvailableSlot | None] = {}
+        self._load_orders = _load_orders_in_flight(engines)
+        self._being_loaded: dict[int, AdapterDemand] = {}
+        self._reserve_loads_in_progress(demands)
+        self._eligible = {
+            engine.id: engine for engine in engines if self._is_eligible(engine)
+        }
         self._candidates: Candidates | None = None
 
-    def _is_able(self, engine: Engine) -> bool:
-        """Return whether an engine takes another load, now or soon."""
+    def _is_eligible(self, engine: Engine) -> bool:
+        """Return whether an engine can take another load, now or soon."""
         if engine.upstream.zone not in self._open_zones:
             return False
-        return engine.orderly(self._now) and engine.coming < MOST_COMING
+        return (
+            engine.accepts_orders(self._now)
+            and engine.loading_count < MAX_CONCURRENT_LOADS
+        )
 
-    def _note_promised(self, waiting: Iterable[WantedAdapter]) -> None:
-        """Count what will be read at each engine once its loads have ended.
+    def _reserve_loads_in_progress(self, demands: Iterable[AdapterDemand]) -> None:
+        """Reserve the prompts that each engine will prefill once its loads have ended.
 
-        Else all that wait at one moment would be sent to the engine that is idle.
+        Otherwise all requests that are queued at one moment would be assigned to the
+        one engine that is idle.
         """
-        for wanted in waiting:
-            for engine in self._bringing(wanted):
-                engine.promise(wanted.all_tokens, len(wanted.by_id))
-                self._on_its_way[id(wanted)] = wanted
-
-    def on_its_way(self, wanted: WantedAdapter) -> bool:
-        """Return whether some engine was loading a wanted adapter when this began."""
-        return id(wanted) in self._on_its_way
-
-    def _bringing(self, wanted: WantedAdapter) -> Iterator[Engine]:
-        holding = self._holders.of(wanted.adapter)
-        sending = self._sending.get(wanted.adapter, ())
-        new = (engine for engine in sending if engine.id not in holding)
-        for engine in itertools.chain(holding.values(), new):
-            if engine.id in wanted.tried or engine.upstream.service != wanted.service:
+        for demand in demands:
+            for engine in self._engines_loading(demand):
+                engine.reserve(demand.total_tokens, len(demand.by_id))
+                self._being_loaded[id(demand)] = demand
+
+    def is_being_loaded(self, demand: AdapterDemand) -> bool:
+        """Return whether an engine was loading the adapter when the round began."""
+        return id(demand) in self._being_loaded
+
+    def _engines_loading(self, demand: AdapterDemand) -> Iterator[Engine]:
+        holding = self._index.holding(demand.adapter)
+        ordered = self._load_orders.get(demand.adapter, ())
+        others = (engine for engine in ordered if engine.id not in holding)
+        for engine in itertools.chain(holding.values(), others):
+            if engine.id in demand.tried or engine.upstream.service != demand.service:
                 continue
-            if engine.brings(wanted.adapter, wanted.oldest_version, self._now):
+            if engine.is_loading(demand.adapter, demand.oldest_version, self._now):
                 yield engine
 
-    def gain(self, wanted: WantedAdapter) -> float:
-        """Return what a wanted adapter earns for each second until it answers."""
-        cold = self._is_cold(wanted)
-        until_answered = (COLD_LOAD if cold else WARM_LOAD) + FIRST_TOKEN
-        worth = wanted.worth(self._now, until_answered) - (LOAD_PRICE if cold else 0.0)
-        return worth / until_answered.total_seconds()
-
-    def _is_cold(self, wanted: WantedAdapter) -> bool:
-        """Return whether no engine has a copy; looked up once while it waits."""
-        if wanted.cold is None:
-            adapter, version = wanted.adapter, wanted.oldest_version
-            wanted.cold = not any(
+    def value_per_second(self, demand: AdapterDemand) -> float:
+        """Return the value of loading an adapter, per second until the answers."""
+        cold = self._is_cold(demand)
+        until_answered = (
+            COLD_LOAD_TIME if cold else WARM_LOAD_TIME
+        ) + EXPECTED_FIRST_TOKEN_TIME
+        value = demand.value(self._now, until_answered) - (
+            COLD_LOAD_PRICE if cold else 0.0
+        )
+        return value / until_answered.total_seconds()
+
+    def _is_cold(self, demand: AdapterDemand) -> bool:
+        """Return whether no engine has a copy; cached until the demand changes."""
+        if demand.cold is None:
+            adapter, version = demand.adapter, demand.oldest_version
+            demand.cold = not any(
                 engine.has_copy(adapter, version)
-                for engine in self._holders.with_copy(adapter).values()
+                for engine in self._index.with_copy(adapter).values()
             )
-        return wanted.cold
+        return demand.cold
 
-    def best_engine(self, wanted: WantedAdapter) -> Engine | None:
-        """Return where a wanted adapter is loaded at the least cost, or None."""
-        tokens = wanted.most_tokens
+    def best_engine(self, demand: AdapterDemand) -> Engine | None:
+        """Return the engine where the adapter is loaded at the lowest cost, or None."""
+        tokens = demand.max_tokens
         best: Engine | None = None
-        least = math.inf
-        copies = self._holders.with_copy(wanted.adapter).values()
-        others = self._cheapest.below(lambda: least - COLD_COST, tokens)
-        for engine in itertools.chain(copies, others):
-            if engine.id not in self._able or not self._suits(engine, wanted):
+        min_cost = math.inf
+        with_copy = self._index.with_copy(demand.adapter).values()
+        # All engines with a copy are visited; any other one costs COLD_COST more.
+        others = self._candidates_by_cost.cheaper_than(
+            lambda: min_cost - COLD_COST, tokens
+        )
+        for engine in itertools.chain(with_copy, others):
+            if engine.id not in self._eligible or not self._can_load(engine, demand):
                 continue
-            cost = self._cost(engine, wanted, tokens)
-            if cost < least:
-                best, least = engine, cost
+            cost = self._cost(engine, demand, tokens)
+            if cost < min_cost:
+                best, min_cost = engine, cost
         return best
 
     @property
-    def _cheapest(self) -> Candidates:
+    def _candidates_by_cost(self) -> Candidates:
         if self._candidates is None:
-            self._candidates = Candidates(self._able.values(), self._least_cost)
+            self._candidates = Candidates(self._eligible.values(), self._min_cost)
         return self._candidates
 
-    def _least_cost(self, engine: Engine) -> float | None:
-        if engine.work.is_overdue(self._now):
+    def _min_cost(self, engine: Engine) -> float | None:
+        if engine.inflight.is_overdue(self._now):
             return None
-        return self._cost_of_any(engine, 0)
+        return self._base_cost(engine, 0)
 
-    def _suits(self, engine: Engine, wanted: WantedAdapter) -> bool:
-        """Return whether an engine can be told to load a wanted adapter."""
-        if engine.upstream.service != wanted.service or engine.id in wanted.tried:
+    def _can_load(self, engine: Engine, demand: AdapterDemand) -> bool:
+        """Return whether an engine can be ordered to load an adapter."""
+        if engine.upstream.service != demand.service or engine.id in demand.tried:
             return False
-        if wanted.adapter.model not in engine.models:
+        if demand.adapter.model not in engine.models:
             return False
-        if engine.serves(wanted.adapter, wanted.oldest_version):
+        if engine.serves(demand.adapter, demand.oldest_version):
             return False
-        if self._permit_comes_late(engine, wanted):
+        if self._permit_comes_too_late(engine, demand):
             return False
-        return self.room(engine, wanted.adapter) is not None
+        return self.slot_for(engine, demand.adapter) is not None
 
-    def _permit_comes_late(self, engine: Engine, wanted: WantedAdapter) -> bool:
-        """Return whether all that wait would be given up before they can be sent."""
+    def _permit_comes_too_late(self, engine: Engine, demand: AdapterDemand) -> bool:
+        """Return whether all requests would be refused before they can be sent."""
         wait = self._permit_wait(engine)
-        return bool(wait) and self._now + wait > wanted.last_give_up
-
-    def room(self, engine: Engine, adapter: Adapter) -> Room | None:
-        """Return the room that an engine has for an adapter, or None."""
-        if adapter in engine.places:
-            return room_for(engine, adapter, self._popularity, self._now)
-        if engine.id not in self._spare:
-            self._spare[engine.id] = spare_room(engine, self._popularity, self._now)
-        return self._spare[engine.id]
-
-    def ordered(self, engine: Engine, wanted: WantedAdapter) -> None:
-        """Note that an engine was sent an order: its room is another one now."""
-        engine.promise(wanted.all_tokens, len(wanted.by_id))
-        self._spare.pop(engine.id, None)
-        able = self._is_able(engine)
-        if not able:
-            self._able.pop(engine.id, None)
+        return bool(wait) and self._now + wait > demand.last_give_up
+
+    def slot_for(self, engine: Engine, adapter: Adapter) -> AvailableSlot | None:
+        """Return the slot that an engine has available for an adapter, or None."""
+        if adapter in engine.adapter_slots:
+            return find_slot(engine, adapter, self._popularity, self._now)
+        if engine.id not in self._spare_slots:
+            self._spare_slots[engine.id] = find_spare_slot(
+                engine, self._popularity, self._now
+            )
+        return self._spare_slots[engine.id]
+
+    def record_order(self, engine: Engine, demand: AdapterDemand) -> None:
+        """Record that an engine was sent an order, which changes its free slots."""
+        engine.reserve(demand.total_tokens, len(demand.by_id))
+        self._spare_slots.pop(engine.id, None)
+        is_eligible = self._is_eligible(engine)
+        if not is_eligible:
+            self._eligible.pop(engine.id, None)
         if self._candidates is not None:
-            self._candidates.changed(engine, able)
+            self._candidates.update(engine, is_eligible)
 
-    def _cost(self, engine: Engine, wanted: WantedAdapter, tokens: int) -> float:
-        """Return what it costs to bring an adapter to an engine, in seconds."""
-        cost = self._cost_of_any(engine, tokens)
-        if not engine.has_copy(wanted.adapter, wanted.oldest_version):
+    def _cost(self, engine: Engine, demand: AdapterDemand, tokens: int) -> float:
+        """Return the cost of loading an adapter on an engine, in seconds."""
+        cost = self._base_cost(engine, tokens)
+        if not engine.has_copy(demand.adapter, demand.oldest_version):
             cost += COLD_COST
-        if engine.upstream.zone not in wanted.zones:
+        if engine.upstream.zone not in demand.zones:
             cost += OTHER_ZONE_COST
         return cost
 
-    def _cost_of_any(self, engine: Engine, tokens: int) -> float:
-        """Return what of that holds for any adapter."""
-        cost = self._wait_at(engine, tokens).total_seconds()
+    def _base_cost(self, engine: Engine, tokens: int) -> float:
+        """Return the part of the cost that is the same for every adapter."""
+        cost = self._first_token_wait(engine, tokens).total_seconds()
         cost += len(engine.copies) * COPY_COST
-        return cost + (engine.capacity - engine.free) / engine.capacity * FULL_COST
+        return (
+            cost
+            + (engine.capacity - engine.free_slots) / engine.capacity * OCCUPANCY_COST
+        )
 
 
-def _loads_being_sent(engines: Iterable[Engine]) -> dict[Adapter, list[Engine]]:
-    """Return the engines whose order to load an adapter has no answer yet."""
+def _load_orders_in_flight(engines: Iterable[Engine]) -> dict[Adapter, list[Engine]]:
+    """Return the engines with an unanswered order to load an adapter, by adapter."""
     found: dict[Adapter, list[Engine]] = {}
     for engine in engines:
-        order = engine.sending
+        order = engine.order_in_flight
         if order is not None and order.kind is OrderKind.LOAD:
             found.setdefault(order.adapter, []).append(engine)
     return found
--- a/packages/ashhoist/src/ashhoist/placement/scheduler.py
+++ b/packages/ashhoist/src/ashhoist/placement/scheduler.py
@@ -1,7 +1,7 @@
-"""Decides, for the leader, what is loaded where and what gives way.
+"""The leader's scheduler: decides what is loaded where and what is evicted.
 
-No sockets and no threads: requests that wait, uses, answers and reports come in
-as calls; orders and answers go out as actions.
+It uses neither sockets nor threads: requests, answers and reports come in as method
+calls; orders and decisions are emitted as actions.
 """
 
 from collections.abc import Callable
@@ -24,33 +24,35 @@
     Serving,
 )
 from .asks import UseEnd
-from .engine import Engine, EngineNews, PlaceState
+from .engine import Engine, EngineUpdate, SlotState
 from .engine_orders import EngineOrders
-from .holders import Holders
+from .holders import AdapterIndex
 from .limited_engines import LimitedEngines
 from .models import ModelLoads
 from .permits import EnginePermits
 from .popularity import Popularity
 from .residency import Residency
-from .rounds import Round, room_for
-from .wants import Want, WantedAdapter, Wants
+from .rounds import PlanningRound, find_slot
+from .wants import AdapterDemand, PendingRequests, Want
 
 MILLISECOND = timedelta(milliseconds=1)
-ORDER_LOST_AFTER = timedelta(seconds=1)
-SOON_ENOUGH = timedelta(milliseconds=550)
-WORTH_A_LOAD = timedelta(milliseconds=250)
-"""By so much sooner an engine must begin that loads the adapter for it."""
-COME_BACK = timedelta(milliseconds=300)
+ORDER_TIMEOUT = timedelta(seconds=1)
+ACCEPTABLE_WAIT = timedelta(milliseconds=550)
+"""A request with a longer wait for its first token may be queued for a load instead."""
+MIN_LOAD_BENEFIT = timedelta(milliseconds=250)
+"""A request is queued for a load only if its first token comes earlier by this much."""
+RETRY_AFTER = timedelta(milliseconds=300)
 FAILURE_COST = timedelta(seconds=2)
-"""What a failure costs the request it happens to: about the time until it is sent
-elsewhere, and often its only chance to be in time."""
+"""What a failure costs the request that it happens to: about the time until it is sent
+elsewhere, and often its only chance to be on time."""
 UNREACHABLE_COST = timedelta(seconds=5)
-"""Goes there last of all, but does go if there is nothing else."""
-PLAN_EVERY = timedelta(milliseconds=4)
-"""What comes within so short a time is planned for together."""
-PLANNING_SHARE = 0.25
-"""Of the leader's time, spent on planning at most. Else rounds grow with what waits,
-and what waits grows while they keep the leader from hearing that loads have ended."""
+"""Makes an unreachable engine the last choice, used only if there is no other."""
+PLANNING_INTERVAL = timedelta(milliseconds=4)
+"""Requests that arrive within this time are planned for together."""
+MAX_PLANNING_FRACTION = 0.25
+"""The part of the leader's time that is spent on planning at most. Without this limit,
+rounds take longer the more requests are queued, and more requests are queued the longer
+the rounds keep the leader from handling the answers to loads."""
 
 
 class Scheduler:
@@ -59,19 +61,20 @@
     Parameters
     ----------
     may_order : callable
-        Takes a zone; returns whether orders reach its engines now.
-    act : callable
+        Takes an availability zone; returns whether orders may be sent to its engines
+        now.
+    execute : callable
         Carries out an action.
     permits : EnginePermits
-        How many more requests engines take that have named a limit.
+        How many more requests the engines with a rate limit accept.
     residency : Residency
-        What the last leader has told of places and copies.
+        The slots and copies that the previous leader has published.
     """
 
     def __init__(
         self,
         may_order: Callable[[str], bool],
-        act: Callable[[SchedulerAction], None],
+        execute: Callable[[SchedulerAction], None],
         permits: EnginePermits,
         residency: Residency,
         clock: Clock,
@@ -79,134 +82,140 @@
         log: Logger,
     ) -> None:
         self._may_order = may_order
-        self._act = act
+        self._execute = execute
         self._permits = permits
         self._residency = residency
         self._clock = clock
         self._metrics = metrics
         self._log = log
         self._settings: dict[str, EngineSettings] = {}
-        self._models = ModelLoads(clock)
+        self._model_loads = ModelLoads(clock)
         self._health = Health(clock)
-        self._orders = EngineOrders(act, clock)
-        self._plan_from = -PLAN_EVERY
-        self._has_news = True
-        self._holders = Holders()
+        self._orders = EngineOrders(execute, clock)
+        self._next_plan_at = -PLANNING_INTERVAL
+        self._has_changes = True
+        self._index = AdapterIndex()
         self.engines: dict[str, Engine] = {}
-        self.wants = Wants()
+        self.wants = PendingRequests()
         self._limited = LimitedEngines(
-            permits, self.wants, self._serving, self._wait_at, self._send_there
+            permits,
+            self.wants,
+            self._engines_serving,
+            self._first_token_wait,
+            self._send_to,
         )
         self.popularity = Popularity(clock)
 
     @property
     def busy(self) -> bool:
-        """Return whether loads are under way or requests wait."""
+        """Return whether loads or unloads are in progress or requests are queued."""
         if len(self.wants):
             return True
-        return any(engine.changing for engine in self.engines.values())
+        return any(engine.has_pending_changes for engine in self.engines.values())
 
     @property
     def ordering(self) -> bool:
-        """Return whether an order is under way."""
-        return any(engine.sending is not None for engine in self.engines.values())
+        """Return whether an order is in flight."""
+        return any(
+            engine.order_in_flight is not None for engine in self.engines.values()
+        )
 
-    # What comes in
+    # Input
 
     def set_upstreams(
         self, settings: dict[str, EngineSettings], found: list[Upstream]
     ) -> None:
-        """Take in the engines that take work now.
+        """Set the engines that accept requests now.
 
         Parameters
         ----------
         settings : dict
-            Of the engines, by service.
+            The settings of engines, by service.
         """
         self._settings = settings
-        self._has_news = True
+        self._has_changes = True
         life_by_id = {upstream.id: upstream.life for upstream in found}
         for engine in list(self.engines.values()):
             if engine.upstream.life == life_by_id.get(engine.id):
                 continue
             del self.engines[engine.id]
-            self._holders.forget(engine)
+            self._index.remove_engine(engine)
             self._health.forget(engine.id)
             if engine.id in life_by_id:
-                # Its new life holds nothing until it reports.
+                # It was restarted: it holds nothing until it reports.
                 self._residency.forget(engine.id)
-                self._act(Serving(engine.id, {}))
+                self._execute(Serving(engine.id, {}))
         for upstream in found:
             known = self.engines.get(upstream.id)
             if known is not None:
                 known.upstream = upstream
             else:
-                places = settings[upstream.service].adapter_places
+                capacity = settings[upstream.service].adapter_places
                 copies = self._residency.copies(upstream.id)
-                engine = Engine(upstream, places, copies, self._holders)
-                held = self._residency.of(upstream.id)
-                engine.expect(held, self._clock.monotonic())
+                engine = Engine(upstream, capacity, copies, self._index)
+                served = self._residency.of(upstream.id)
+                engine.assume_serving(served, self._clock.monotonic())
                 self.engines[upstream.id] = engine
 
-    def want(self, want: Want) -> None:
-        """Take in a request that needs an adapter."""
-        self.popularity.asked(want.adapter)
-        engine = self._soonest(want)
+    def want(self, request: Want) -> None:
+        """Send a request to an engine that serves its adapter, or queue it."""
+        self.popularity.record_request(request.adapter)
+        engine = self._engine_to_send_to(request)
         if engine is None:
-            self.wants.add(want)
-            self._has_news = True
-            self._act(Held(want))
+            self.wants.add(request)
+            self._has_changes = True
+            self._execute(Held(request))
             return
-        self._send_there(engine, want)
+        self._send_to(engine, request)
 
-    def withdraw(self, want_id: str) -> None:
-        """Forget a request that no longer waits."""
-        self.wants.remove(want_id)
+    def withdraw(self, request_id: str) -> None:
+        """Remove a request that is no longer queued."""
+        self.wants.remove(request_id)
 
-    def began(self, use_id: str, instance: str, use: Beginning) -> None:
-        """Take in a request that an instance has sent by itself."""
-        engine = self.engines.get(use.upstream)
-        self.popularity.asked(use.adapter)
+    def began(self, request_id: str, instance: str, send: Beginning) -> None:
+        """Record a request that an instance has sent without asking the scheduler."""
+        engine = self.engines.get(send.upstream)
+        self.popularity.record_request(send.adapter)
         if engine is None:
             return
         now = self._clock.monotonic()
-        engine.work.begin(use_id, instance, use.adapter, use.tokens, now)
-        engine.touch(use.adapter, now)
+        engine.inflight.add(request_id, instance, send.adapter, send.tokens, now)
+        engine.touch(send.adapter, now)
 
-    def started(self, upstream: str, use_id: str) -> None:
-        """Take in that a request has its first token."""
+    def started(self, upstream: str, request_id: str) -> None:
+        """Record that a request has received its first token."""
         engine = self.engines.get(upstream)
         if engine is not None:
-            engine.work.started(use_id, self._clock.monotonic())
+            engine.inflight.record_first_token(request_id, self._clock.monotonic())
 
-    def ended(self, upstream: str, use_id: str, end: UseEnd) -> None:
-        """Take in that a request has ended at an engine, and how."""
+    def ended(self, upstream: str, request_id: str, outcome: UseEnd) -> None:
+        """Record that a request has ended at an engine, and its outcome."""
         engine = self.engines.get(upstream)
         if engine is None:
             return
-        if end is UseEnd.WELL:
+        if outcome is UseEnd.WELL:
             self._health.answered(upstream)
-        elif end is not UseEnd.UNKNOWN:
-            self._health.failed(upstream, end is UseEnd.UNREACHABLE)
-        adapter = engine.work.end(use_id)
+        elif outcome is not UseEnd.UNKNOWN:
+            self._health.failed(upstream, outcome is UseEnd.UNREACHABLE)
+        adapter = engine.inflight.remove(request_id)
         if adapter is not None:
             engine.touch(adapter, self._clock.monotonic())
 
     def instance_gone(self, instance: str) -> None:
-        """Forget what waits and runs for an instance that can't be reached."""
-        for want in self.wants.of_instance(instance):
-            self.withdraw(want.id)
+        """Remove the queued and running requests of an unreachable instance."""
+        for request in self.wants.of_instance(instance):
+            self.withdraw(request.id)
         for engine in self.engines.values():
-            engine.work.end_all_of(instance)
+            engine.inflight.remove_instance(instance)
 
     def answered(self, upstream: str, number: int, answer: OrderAnswer) -> None:
-        """Take in how an order ended."""
+        """Apply the answer to an order; ignore it if the order is not in flight."""
         engine = self.engines.get(upstream)
-        order = engine.sending if engine is not None else None
+        order = engine.order_in_flight if engine is not None else None
         if engine is None or order is None or order.number != number:
             return
         now = self._clock.monotonic()
-        news = engine.answered(answer, now)
+        update = engine.order_answered(answer, now)
         if answer is not OrderAnswer.ACCEPTED or order.kind is OrderKind.UNLOAD:
             self._log.info(
                 "order ended",
@@ -216,280 +225,304 @@
                 version=order.version,
                 expected=order.expected,
                 answer=answer,
-                took_ms=round(news.took / timedelta(milliseconds=1)),
-                cold=news.cold,
+                took_ms=round(update.duration / timedelta(milliseconds=1)),
+                cold=update.cold,
             )
         self._metrics.count("orders", order.kind, answer)
-        self._take(engine, news)
+        self._apply(engine, update)
 
     def reported(self, upstream: str, report: EngineReport | None) -> None:
-        """Take in what an engine says it holds."""
+        """Apply an engine's report of what it holds; None if it did not answer."""
         engine = self.engines.get(upstream)
         if engine is None:
             return
-        news = engine.reported(report, self._clock.monotonic())
+        update = engine.apply_report(report, self._clock.monotonic())
         self._log.info(
             "engine reported",
             upstream=upstream,
             answered=report is not None,
             order_count=engine.order_count,
-            held=len(engine.places),
+            held=len(engine.adapter_slots),
         )
-        self._take(engine, news)
-
-    def _take(self, engine: Engine, news: EngineNews) -> None:
-        self._has_news = True
-        if news.serving_changed:
-            self._act(Serving(engine.id, engine.serving()))
-        if news.loaded is not None:
-            # What waits for it begins now; the next round counts the rest anew.
-            engine.forget_promises()
-            self._metrics.count("loads", "cold" if news.cold else "warm")
-        self._serve_waiting(engine, news)
-
-    def _serve_waiting(self, engine: Engine, news: EngineNews) -> None:
-        """Send what waits for an adapter that the engine serves now."""
-        load_began = self._clock.monotonic() - news.took
-        for adapter in engine.serving():
-            wanted = self.wants.of(engine.upstream.service, adapter)
-            if wanted is None:
+        self._apply(engine, update)
+
+    def _apply(self, engine: Engine, update: EngineUpdate) -> None:
+        self._has_changes = True
+        if update.serving_changed:
+            self._execute(Serving(engine.id, engine.served_adapters()))
+        if update.loaded is not None:
+            # The requests for the loaded adapter are sent now; the next round reserves
+            # anew for the others.
+            engine.clear_reservations()
+            self._metrics.count("loads", "cold" if update.cold else "warm")
+        self._send_pending(engine, update)
+
+    def _send_pending(self, engine: Engine, update: EngineUpdate) -> None:
+        """Send the queued requests for the adapters that an engine serves now."""
+        load_began = self._clock.monotonic() - update.duration
+        for adapter in engine.served_adapters():
+            demand = self.wants.demand_for(engine.upstream.service, adapter)
+            if demand is None:
                 continue
-            for want in list(wanted.by_id.values()):
-                # A request waits for one load: it was paid for, and the next one
-                # would end later still.
-                loaded_for_it = adapter == news.loaded and want.asked_at <= load_began
-                chosen = self._best_serving(want)
+            for request in list(demand.by_id.values()):
+                # A request waits for one load only: that load was made for it, and the
+                # next one would end even later.
+                loaded_for_it = (
+                    adapter == update.loaded and request.asked_at <= load_began
+                )
+                chosen = self._best_serving(request)
                 if not loaded_for_it:
-                    chosen = self._soonest(want)
+                    chosen = self._engine_to_send_to(request)
                 if chosen is not None:
-                    self.wants.remove(want.id)
-                    self._send_there(chosen, want)
+                    self.wants.remove(request.id)
+                    self._send_to(chosen, request)
 
-    def _send_there(self, engine: Engine, want: Want) -> None:
+    def _send_to(self, engine: Engine, request: Want) -> None:
         now = self._clock.monotonic()
         permitted = self._permits.limited(engine.id) and self._permits.take(engine.id)
-        version = engine.serving()[want.adapter]
-        expected = engine.work.first_after(want.tokens, now)
-        engine.work.begin(want.id, want.instance, want.adapter, want.tokens, now)
-        engine.touch(want.adapter, now)
+        version = engine.served_adapters()[request.adapter]
+        expected = engine.inflight.time_to_first_token(request.tokens, now)
+        engine.inflight.add(
+            request.id, request.instance, request.adapter, request.tokens, now
+        )
+        engine.touch(request.adapter, now)
         batch = self._settings[engine.upstream.service].batch
-        self._metrics.observe("batch_fill", len(engine.work) / max(batch, 1))
-        self._act(Placed(want, engine.id, version, expected, permitted))
+        self._metrics.observe("batch_fill", len(engine.inflight) / max(batch, 1))
+        self._execute(Placed(request, engine.id, version, expected, permitted))
 
-    def _soonest(self, want: Want) -> Engine | None:
-        """Return the engine to send a request to now; None if it should wait.
+    def _engine_to_send_to(self, request: Want) -> Engine | None:
+        """Return the engine to send a request to now; None if it should be queued.
 
-        It waits where none serves its adapter, and where another engine would
-        have loaded it and be at its prompt much sooner.
+        It is queued if no engine serves its adapter, or if its first token would come
+        much earlier from an engine that has to load the adapter first.
         """
-        best = self._best_serving(want)
+        best = self._best_serving(request)
         if best is None:
             return None
-        first = self._wait_at(best, want.tokens)
-        if first <= SOON_ENOUGH:
+        wait = self._first_token_wait(best, request.tokens)
+        if wait <= ACCEPTABLE_WAIT:
             return best
-        elsewhere = self._first_elsewhere(want)
-        if elsewhere is not None and elsewhere + WORTH_A_LOAD < first:
+        wait_with_load = self._first_token_wait_with_load(request)
+        if wait_with_load is not None and wait_with_load + MIN_LOAD_BENEFIT < wait:
             return None
         return best
 
-    def _best_serving(self, want: Want) -> Engine | None:
-        """Return the engine that serves a request's adapter and begins soonest.
+    def _best_serving(self, request: Want) -> Engine | None:
+        """Return the engine with the earliest first token that serves the adapter.
 
-        One that must not be sent anything just now does not count.
+        Engines whose rate limit permits no request now are left out.
         """
         permitted = [
             engine
-            for engine in self._serving(want)
+            for engine in self._engines_serving(request)
             if not self._permits.wait(engine.id)
         ]
         return min(
             permitted,
-            key=lambda engine: self._wait_at(engine, want.tokens),
+            key=lambda engine: self._first_token_wait(engine, request.tokens),
             default=None,
         )
 
-    def _serving(self, want: Want) -> list[Engine]:
-        """Return the engines that serve a request's adapter."""
-        holding = self._holders.of(want.adapter) if want.adapter.name else self.engines
+    def _engines_serving(self, request: Want) -> list[Engine]:
+        """Return the engines that serve the adapter of a request."""
+        holding = (
+            self._index.holding(request.adapter)
+            if request.adapter.name
+            else self.engines
+        )
         return [
             engine
             for engine in holding.values()
-            if engine.upstream.service == want.service
-            and engine.id not in want.tried
-            and engine.serves(want.adapter, want.oldest_version)
+            if engine.upstream.service == request.service
+            and engine.id not in request.tried
+            and engine.serves(request.adapter, request.oldest_version)
         ]
 
-    def _wait_at(self, engine: Engine, tokens: int) -> timedelta:
-        """Return the wait for a first token, with what a failing engine costs."""
+    def _first_token_wait(self, engine: Engine, tokens: int) -> timedelta:
+        """Return the expected wait for a first token.
+
+        Includes the wait for a permit and penalties for an engine that fails.
+        """
         now = self._clock.monotonic()
-        wait = engine.work.first_after(tokens + engine.promised, now)
-        wait += self._limited.wait(engine)
+        wait = engine.inflight.time_to_first_token(tokens + engine.reserved_tokens, now)
+        wait += self._limited.permit_wait(engine)
         wait += FAILURE_COST * self._health.share_failing(engine.id)
         if not self._health.usable(engine.id):
             wait += UNREACHABLE_COST
         return wait
 
-    def _engines_for(self, want: Want) -> list[Engine]:
+    def _engines_for(self, request: Want) -> list[Engine]:
         return [
             engine
             for engine in self.engines.values()
-            if engine.upstream.service == want.service and engine.id not in want.tried
+            if engine.upstream.service == request.service
+            and engine.id not in request.tried
         ]
 
-    def _first_elsewhere(self, want: Want) -> timedelta | None:
-        """Return how soon an engine that does not serve the adapter could begin."""
+    def _first_token_wait_with_load(self, request: Want) -> timedelta | None:
+        """Return the shortest wait at an engine that does not serve the adapter yet."""
         now = self._clock.monotonic()
-        soonest: timedelta | None = None
-        for engine in self._engines_for(want):
-            if engine.serves(want.adapter, want.oldest_version):
+        shortest: timedelta | None = None
+        for engine in self._engines_for(request):
+            if engine.serves(request.adapter, request.oldest_version):
                 continue
-            place = engine.places.get(want.adapter)
-            if place is not None and place.state is PlaceState.COMING:
-                load = max(place.look_at - now, timedelta())
-            elif self._could_load(engine, want.adapter, now):
-                load = engine.load_time(want.adapter, want.oldest_version)
+            slot = engine.adapter_slots.get(request.adapter)
+            if slot is not None and slot.state is SlotState.LOADING:
+                load_time = max(slot.poll_at - now, timedelta())
+            elif self._could_load(engine, request.adapter, now):
+                load_time = engine.expected_load_time(
+                    request.adapter, request.oldest_version
+                )
             else:
                 continue
-            first = load + self._wait_at(engine, want.tokens)
-            if soonest is None or first < soonest:
-                soonest = first
-        return soonest
+            wait = load_time + self._first_token_wait(engine, request.tokens)
+            if shortest is None or wait < shortest:
+                shortest = wait
+        return shortest
 
     def tell(self) -> None:
-        """Log how the engines and the requests that wait stand."""
+        """Log the state of the engines and the number of queued requests."""
         for engine in self.engines.values():
-            places = engine.places.values()
+            slots = engine.adapter_slots.values()
             self._log.info(
                 "engine state",
                 upstream=engine.id,
-                known=engine.known,
-                sending=engine.sending is not None,
-                free=engine.free,
-                coming=engine.coming,
-                going=sum(place.state is PlaceState.GOING for place in places),
-                used=sum(engine.work.uses(place.adapter) > 0 for place in places),
-                running=len(engine.work),
+                known=engine.state_known,
+                sending=engine.order_in_flight is not None,
+                free=engine.free_slots,
+                coming=engine.loading_count,
+                going=sum(slot.state is SlotState.UNLOADING for slot in slots),
+                used=sum(engine.inflight.count(slot.adapter) > 0 for slot in slots),
+                running=len(engine.inflight),
                 permit_ms=round(self._permits.wait(engine.id) / MILLISECOND),
-                pace=round(engine.work.pace, 2),
+                pace=round(engine.inflight.latency_factor, 2),
                 copies=len(engine.copies),
             )
         self._log.info(
             "requests wait",
             requests=len(self.wants),
-            adapters=len(list(self.wants.adapters())),
+            adapters=len(list(self.wants.demands())),
         )
 
-    # What goes out
+    # Planning
 
     def plan(self, by_time: bool = False) -> None:
-        """Send the orders that are due, most worth first.
+        """Send the orders that are due, most valuable first.
 
         Parameters
         ----------
         by_time : bool
-            True if something may be due because time has passed; else a round is
-            planned only where a request waits anew or an engine has said something.
+            True if something may be due because time has passed. Otherwise a round is
+            planned only after a request was queued or an engine has changed.
         """
         now = self._clock.monotonic()
-        if not (by_time or self._has_news) or now < self._plan_from:
+        if not (by_time or self._has_changes) or now < self._next_plan_at:
             return
-        self._has_news = False
+        self._has_changes = False
         self._plan_round(now)
         took = self._clock.monotonic() - now
-        self._plan_from = now + max(PLAN_EVERY, took / PLANNING_SHARE)
+        self._next_plan_at = now + max(PLANNING_INTERVAL, took / MAX_PLANNING_FRACTION)
 
     def _plan_round(self, now: timedelta) -> None:
         open_zones = self._find_open_zones()
         for engine in self.engines.values():
-            engine.forget_promises()
-            self._give_up_order(engine, now)
-            self._orders.look_after(engine, open_zones, now)
-        self._bring_models(open_zones)
+            engine.clear_reservations()
+            self._time_out_order(engine, now)
+            self._orders.follow_up(engine, open_zones, now)
+        self._load_models(open_zones)
         if not len(self.wants):
             return
         self._limited.begin_round(self.engines.values())
-        round_ = Round(
+        round_ = PlanningRound(
             self.engines.values(),
-            self._holders,
+            self._index,
             open_zones,
             self.popularity,
-            self.wants.adapters(),
-            self._wait_at,
-            self._limited.wait,
+            self.wants.demands(),
+            self._first_token_wait,
+            self._limited.permit_wait,
             now,
         )
-        self._give_up(round_, now)
-        waiting = [wanted for wanted in self.wants.adapters() if wanted.adapter.name]
-        for wanted in sorted(waiting, key=round_.gain, reverse=True):
-            self._bring(round_, wanted, now)
+        self._refuse_overdue(round_, now)
+        demands = [demand for demand in self.wants.demands() if demand.adapter.name]
+        for demand in sorted(demands, key=round_.value_per_second, reverse=True):
+            self._load_adapter(round_, demand, now)
 
     def _find_open_zones(self) -> set[str]:
         zones = {engine.upstream.zone for engine in self.engines.values()}
         return {zone for zone in zones if self._may_order(zone)}
 
-    def _give_up(self, round_: Round, now: timedelta) -> None:
-        for want in self.wants.ended(now):
-            self._act(Refused(want, Reason.NO_PLACE, COME_BACK))
-        for wanted in self.wants.adapters():
-            if round_.on_its_way(wanted):
+    def _refuse_overdue(self, round_: PlanningRound, now: timedelta) -> None:
+        """Refuse requests past their deadline or their give-up time.
+
+        The give-up time does not apply while the adapter is being loaded.
+        """
+        for request in self.wants.remove_expired(now):
+            self._execute(Refused(request, Reason.NO_PLACE, RETRY_AFTER))
+        for demand in self.wants.demands():
+            if round_.is_being_loaded(demand):
                 continue
-            for want in list(wanted.by_id.values()):
-                if now < want.give_up_at:
+            for request in list(demand.by_id.values()):
+                if now < request.give_up_at:
                     continue
-                self.wants.remove(want.id)
-                self._act(Refused(want, Reason.NO_PLACE, COME_BACK))
+                self.wants.remove(request.id)
+                self._execute(Refused(request, Reason.NO_PLACE, RETRY_AFTER))
 
-    def _give_up_order(self, engine: Engine, now: timedelta) -> None:
-        """Take an order for lost whose answer does not come."""
-        order = engine.sending
-        if order is not None and now - engine.sent_at > ORDER_LOST_AFTER:
+    def _time_out_order(self, engine: Engine, now: timedelta) -> None:
+        """Treat an order without an answer after the timeout as unresolved."""
+        order = engine.order_in_flight
+        if order is not None and now - engine.order_sent_at > ORDER_TIMEOUT:
             self.answered(engine.id, order.number, OrderAnswer.UNKNOWN)
 
-    def _bring_models(self, open_zones: set[str]) -> None:
+    def _load_models(self, open_zones: set[str]) -> None:
         """Load a base model on engines that hold none."""
-        reached = {
+        reachable = {
             engine.id: engine
             for engine in self.engines.values()
             if engine.upstream.zone in open_zones
         }
-        for choice in self._models.due(reached, self._settings, self.popularity):
-            engine = self.engines[choice.upstream]
-            self._orders.load(engine, Adapter(choice.model), 0)
+        for load in self._model_loads.due(reachable, self._settings, self.popularity):
+            engine = self.engines[load.upstream]
+            self._orders.load(engine, Adapter(load.model), 0)
 
-    def _bring(self, round_: Round, wanted: WantedAdapter, now: timedelta) -> None:
-        """Load a wanted adapter, or make room for it."""
-        if round_.on_its_way(wanted):
+    def _load_adapter(
+        self, round_: PlanningRound, demand: AdapterDemand, now: timedelta
+    ) -> None:
+        """Load an adapter for its queued requests, or first evict another one."""
+        if round_.is_being_loaded(demand):
             return
-        engine = round_.best_engine(wanted)
-        if engine is None or self._limited.serve_sooner(wanted, engine):
-            self._settle_for_what_serves(wanted, now)
+        engine = round_.best_engine(demand)
+        if engine is None or self._limited.serve_sooner(demand, engine):
+            self._send_to_serving(demand, now)
             return
         if not engine.can_order(now):
             return
-        room = round_.room(engine, wanted.adapter)
-        assert room is not None
-        if room.after is not None:
-            self._orders.unload(engine, room.after)
+        slot = round_.slot_for(engine, demand.adapter)
+        assert slot is not None
+        if slot.evict is not None:
+            self._orders.unload(engine, slot.evict)
         else:
-            self._orders.load(engine, wanted.adapter, wanted.oldest_version)
-        round_.ordered(engine, wanted)
+            self._orders.load(engine, demand.adapter, demand.oldest_version)
+        round_.record_order(engine, demand)
 
     def _could_load(self, engine: Engine, adapter: Adapter, now: timedelta) -> bool:
-        if not engine.orderly(now) or not self._may_order(engine.upstream.zone):
+        if not engine.accepts_orders(now) or not self._may_order(engine.upstream.zone):
             return False
-        return room_for(engine, adapter, self.popularity, now) is not None
+        return find_slot(engine, adapter, self.popularity, now) is not None
 
-    def _settle_for_what_serves(self, wanted: WantedAdapter, now: timedelta) -> None:
-        """Send what waits for one more engine to those that serve already."""
-        for ahead, want in enumerate(list(wanted.by_id.values())):
-            best = self._best_serving(want)
+    def _send_to_serving(self, demand: AdapterDemand, now: timedelta) -> None:
+        """Send requests that no load is started for to engines that serve already.
+
+        If all engines are rate-limited, refuses those whose permit would come too late.
+        """
+        for ahead, request in enumerate(list(demand.by_id.values())):
+            best = self._best_serving(request)
             if best is not None:
-                self.wants.remove(want.id)
-                self._send_there(best, want)
+                self.wants.remove(request.id)
+                self._send_to(best, request)
                 continue
-            engines = self._engines_for(want)
-            wait = self._limited.wait_if_all(want, ahead, engines)
-            if wait is not None and now + wait > want.give_up_at:
-                self.wants.remove(want.id)
-                self._act(Refused(want, Reason.UPSTREAMS_LIMITED, wait))
+            engines = self._engines_for(request)
+            wait = self._limited.wait_if_all_limited(request, ahead, engines)
+            if wait is not None and now + wait > request.give_up_at:
+                self.wants.remove(request.id)
+                self._execute(Refused(request, Reason.UPSTREAMS_LIMITED, wait))
--- a/packages/ashhoist/src/ashhoist/placement/wants.py
+++ b/packages/ashhoist/src/ashhoist/placement/wants.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an adapter, as the holder of the lease sees them."""
+"""Requests that are queued at the leader until an engine serves their adapter."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -14,20 +14,25 @@
     Parameters
     ----------
     id : str
-        Of the request.
+        The id of the request.
     instance : str
-        Where it waits.
+        The instance that its caller is connected to.
     oldest_version : int
-        Of the adapter; an older one does not do.
+        The oldest acceptable version of the adapter.
     tokens : int
-        Of its prompt.
-    worth : float
-        What it is worth if it is answered in time.
-    aim_at, give_up_at, limit : timedelta
-        When it ceases to be in time; when it is refused unless its adapter is on
-        its way; when an answer is of no use any more.
+        Length of the prompt.
+    worth, late_worth : float
+        The value of an answer that is on time, and of one that is late.
+    aim_at : timedelta
+        Until when an answer counts as on time.
+    limit : timedelta
+        The deadline, after which an answer has no value.
+    give_up_at : timedelta
+        When the request is refused unless its adapter is being loaded.
+    zone : str
+        The availability zone of the instance.
     may_return : bool
-        Whether the caller has time to come back if it is refused at once.
+        Whether the caller has time to retry if it is refused at once.
     tried : frozenset of str
         Upstreams that have refused or failed it.
     """
@@ -50,17 +55,17 @@
 
 
 @dataclass(slots=True)
-class WantedAdapter:
-    """All that wait for one adapter of one service's engines.
+class AdapterDemand:
+    """All queued requests for one adapter on the engines of one service.
 
     Parameters
     ----------
     oldest_version : int
-        The version that all of them accept.
+        The oldest version that all of them accept.
     tried : frozenset of str
-        The upstreams that all of them have tried.
+        The upstreams that have refused or failed each of them.
     cold : bool or None
-        Whether no engine has a copy; None until that was looked up.
+        Whether no engine has a copy; None until it was looked up.
     """
 
     service: str
@@ -70,98 +75,98 @@
     tried: frozenset[str] = frozenset()
     cold: bool | None = None
 
-    def changed(self) -> None:
-        """Sum up anew what holds for all that wait."""
-        wants = self.by_id.values()
+    def refresh(self) -> None:
+        """Recompute the aggregates after a request was added or removed."""
+        requests = self.by_id.values()
         self.cold = None
-        self.oldest_version = max(want.oldest_version for want in wants)
-        self.tried = frozenset.intersection(*(want.tried for want in wants))
+        self.oldest_version = max(request.oldest_version for request in requests)
+        self.tried = frozenset.intersection(*(request.tried for request in requests))
 
-    def worth(self, now: timedelta, load_time: timedelta) -> float:
-        """Return what a load begun now would earn."""
+    def value(self, now: timedelta, delay: timedelta) -> float:
+        """Return the value of answering all of them after a delay from now."""
         total = 0.0
-        for want in self.by_id.values():
-            in_time = now + load_time <= want.aim_at
-            total += want.worth if in_time else want.late_worth
+        for request in self.by_id.values():
+            on_time = now + delay <= request.aim_at
+            total += request.worth if on_time else request.late_worth
         return total
 
     @property
     def last_give_up(self) -> timedelta:
-        """Return when the last of them is given up."""
-        return max(want.give_up_at for want in self.by_id.values())
+        """Return when the last of the requests is refused."""
+        return max(request.give_up_at for request in self.by_id.values())
 
     @property
-    def most_tokens(self) -> int:
-        """Return the size of the largest prompt."""
-        return max(want.tokens for want in self.by_id.values())
+    def max_tokens(self) -> int:
+        """Return the length of the longest prompt."""
+        return max(request.tokens for request in self.by_id.values())
 
     @property
-    def all_tokens(self) -> int:
-        """Return the size of all prompts together."""
-        return sum(want.tokens for want in self.by_id.values())
+    def total_tokens(self) -> int:
+        """Return the length of all prompts together."""
+        return sum(request.tokens for request in self.by_id.values())
 
     @property
     def zones(self) -> set[str]:
-        """Return the zones of the instances where they wait."""
-        return {want.zone for want in self.by_id.values()}
+        """Return the availability zones of the instances of the requests."""
+        return {request.zone for request in self.by_id.values()}
 
 
-class Wants:
-    """All requests that wait, by adapter."""
+class PendingRequests:
+    """All queued requests, by adapter."""
 
     def __init__(self) -> None:
-        self._by_key: dict[tuple[str, Adapter], WantedAdapter] = {}
+        self._by_key: dict[tuple[str, Adapter], AdapterDemand] = {}
         self._keys: dict[str, tuple[str, Adapter]] = {}
 
-    def add(self, want: Want) -> None:
-        """Add a request that waits."""
-        self.remove(want.id)
-        key = (want.service, want.adapter)
-        wanted = self._by_key.setdefault(key, WantedAdapter(*key))
-        wanted.by_id[want.id] = want
-        wanted.changed()
-        self._keys[want.id] = key
-
-    def remove(self, want_id: str) -> Want | None:
-        """Remove a request; return it if it waited."""
-        key = self._keys.pop(want_id, None)
+    def add(self, request: Want) -> None:
+        """Add a request, in place of one with the same id."""
+        self.remove(request.id)
+        key = (request.service, request.adapter)
+        demand = self._by_key.setdefault(key, AdapterDemand(*key))
+        demand.by_id[request.id] = request
+        demand.refresh()
+        self._keys[request.id] = key
+
+    def remove(self, request_id: str) -> Want | None:
+        """Remove a request; return it if it was queued."""
+        key = self._keys.pop(request_id, None)
         if key is None:
             return None
-        wanted = self._by_key[key]
-        want = wanted.by_id.pop(want_id)
-        if wanted.by_id:
-            wanted.changed()
+        demand = self._by_key[key]
+        request = demand.by_id.pop(request_id)
+        if demand.by_id:
+            demand.refresh()
         else:
             del self._by_key[key]
-        return want
+        return request
 
-    def of(self, service: str, adapter: Adapter) -> WantedAdapter | None:
-        """Return what waits for an adapter of a service, or None."""
+    def demand_for(self, service: str, adapter: Adapter) -> AdapterDemand | None:
+        """Return the queued requests for an adapter of a service, or None."""
         return self._by_key.get((service, adapter))
 
-    def adapters(self) -> Iterable[WantedAdapter]:
-        """Return all adapters that are waited for."""
+    def demands(self) -> Iterable[AdapterDemand]:
+        """Return the queued requests, grouped by adapter."""
         return list(self._by_key.values())
 
-    def ended(self, now: timedelta) -> list[Want]:
-        """Remove and return the requests whose limit has passed."""
-        late = [
-            want
-            for wanted in self._by_key.values()
-            for want in wanted.by_id.values()
-            if want.limit <= now
+    def remove_expired(self, now: timedelta) -> list[Want]:
+        """Remove and return the requests whose deadline has passed."""
+        expired = [
+            request
+            for demand in self._by_key.values()
+            for request in demand.by_id.values()
+            if request.limit <= now
         ]
-        for want in late:
-            self.remove(want.id)
-        return late
+        for request in expired:
+            self.remove(request.id)
+        return expired
 
     def of_instance(self, instance: str) -> list[Want]:
-        """Return the requests that wait at an instance."""
+        """Return the queued requests of an instance."""
         return [
-            want
-            for wanted in self._by_key.values()
-            for want in wanted.by_id.values()
-            if want.instance == instance
+            request
+            for demand in self._by_key.values()
+            for request in demand.by_id.values()
+            if request.instance == instance
         ]
 
     def __len__(self) -> int:
--- a/packages/ashhoist/src/ashhoist/rates/__init__.py
+++ b/packages/ashhoist/src/ashhoist/rates/__init__.py
@@ -1,4 +1,4 @@
-"""Rates that all instances keep together: token buckets, and who grants from them."""
+"""Rate limits that all instances enforce together: token buckets and their shares."""
 
 from .bucket import Bucket, Pace
 from .shares import LEFT_FOR, Shares
--- a/packages/ashhoist/src/ashhoist/rates/shares.py
+++ b/packages/ashhoist/src/ashhoist/rates/shares.py
@@ -1,66 +1,68 @@
-"""Which share of every rate is granted from here.
+"""The share of every rate limit that this instance may grant from.
 
-Every instance owns an equal share of each rate. It leaves that to the instance that
-leads, for a while, and anew before that ends; the leader grants from all shares that it
-has been left. So whatever is cut off, frozen or restarted, and however many lead at
-once, what is granted never adds up to more than the whole: a share is granted from by
-one instance only.
+Every instance owns an equal share of each rate. It delegates its share to the leader
+for a limited time and renews the delegation before it ends; the leader grants from all
+shares delegated to it. Each share is granted from by one instance only, so the grants
+never exceed the whole rate, whichever instances are partitioned, frozen or restarted,
+and however many of them act as the leader at once.
 
-For how long a share is left counts on the leader's clock, from a moment that the leader
-itself has told (`Beat.sent_at`). The instance that leaves it counts from when it heard
-of that moment, so it takes its share back later than the leader lets go.
+The leader counts the time of a delegation on its own clock, from a time that it has
+sent itself (`Beat.sent_at`). The delegating instance counts from when it received that
+time, so the leader stops using the share before the instance takes it back.
 """
 
 from datetime import timedelta
 
 LEFT_FOR = timedelta(milliseconds=1200)
-"""For how long a share is left to the leader: it is left anew at each of the leader's
-beats, which come each 0.5 s, and after this time without one another leader is chosen.
-So whoever follows finds all shares free."""
+"""How long a share is delegated to the leader. Each of the leader's beats renews it;
+they are sent every 0.5 s. If none arrives for this long another leader is elected, so
+that the new leader finds all shares free."""
 
 
 class Shares:
-    """The shares that were left here."""
+    """The shares that other instances have delegated to this one."""
 
     def __init__(self) -> None:
-        self._left_until: dict[str, timedelta] = {}
-        self._look_at = timedelta.max
+        self._delegated_until: dict[str, timedelta] = {}
+        self._next_expiry = timedelta.max
 
     def left(self, instance: str, told_at: timedelta) -> None:
-        """Take in that an instance leaves its share here.
+        """Record that an instance delegates its share to this one.
 
         Parameters
         ----------
         told_at : timedelta
-            The newest moment of this instance that it has heard of.
+            The latest time sent by this instance that the other one has received.
         """
         until = told_at + LEFT_FOR
-        self._left_until[instance] = max(until, self._left_until.get(instance, until))
-        self._look_at = min(self._look_at, until)
+        self._delegated_until[instance] = max(
+            until, self._delegated_until.get(instance, until)
+        )
+        self._next_expiry = min(self._next_expiry, until)
 
     def share(self, instances: int, now: timedelta) -> float:
-        """Return which share of every rate is granted from here.
+        """Return the fraction of every rate that this instance may grant from.
 
         Parameters
         ----------
         instances : int
-            How many instances there are, this one included.
+            The number of instances, including this one.
         """
-        if now >= self._look_at:
-            self._forget_ended(now)
-        return min((len(self._left_until) + 1) / max(instances, 1), 1.0)
+        if now >= self._next_expiry:
+            self._remove_expired(now)
+        return min((len(self._delegated_until) + 1) / max(instances, 1), 1.0)
 
-    def _forget_ended(self, now: timedelta) -> None:
-        self._left_until = {
+    def _remove_expired(self, now: timedelta) -> None:
+        self._delegated_until = {
             instance: until
-            for instance, until in self._left_until.items()
+            for instance, until in self._delegated_until.items()
             if until > now
         }
-        self._look_at = min(self._left_until.values(), default=timedelta.max)
+        self._next_expiry = min(self._delegated_until.values(), default=timedelta.max)
 
     def is_alone(self, instances: int, now: timedelta) -> bool:
-        """Return whether no other instance leaves its share here, though there are any.
+        """Return whether there are other instances but none delegates its share here.
 
-        What it would grant is its own share, which an instance spends without granting.
+        Then there is nothing to grant: an instance spends its own share without grants.
         """
         return self.share(instances, now) * instances <= 1.0 < instances
--- a/tests/scheduler_world.py
+++ b/tests/scheduler_world.py
@@ -1,4 +1,4 @@
-"""A scheduler with a few engines, on a manual clock."""
+"""A scheduler with simulated engines, on a manual clock."""
 
 from datetime import timedelta
 
@@ -23,22 +23,22 @@
 
 
 class SchedulerWorld:
-    """Engines that serve what they are told to, and requests that want adapters.
+    """A scheduler, its engines, and the actions that it has emitted.
 
     Parameters
     ----------
-    held : dict of str to list of int
+    served : dict of str to list of int
         Numbers of the adapters that each engine serves at first.
-    places : int
-        Of each engine.
+    capacity : int
+        Number of adapter slots of each engine.
     permits : EnginePermits or None
-        How many more requests engines take; None if none has named a limit.
+        Permits of engines with a rate limit; None if no engine has one.
     """
 
     def __init__(
         self,
-        held: dict[str, list[int]],
-        places: int = 6,
+        served: dict[str, list[int]],
+        capacity: int = 6,
         permits: EnginePermits | None = None,
     ) -> None:
         self.clock = ManualClock()
@@ -55,24 +55,24 @@
             logs.get("control"),
         )
         model = EngineModel(MODEL, 16000, SECOND, 100, 14)
-        self.settings = EngineSettings({MODEL: model}, 96, 16500, places, 2.0)
+        self.settings = EngineSettings({MODEL: model}, 96, 16500, capacity, 2.0)
         self.upstreams = [
             Upstream(name, SERVICE, f"{name}:1", "zone", slots=96, models=(MODEL,))
-            for name in held
+            for name in served
         ]
         self.scheduler.set_upstreams({SERVICE: self.settings}, self.upstreams)
-        for name, numbers in held.items():
+        for name, numbers in served.items():
             self.report(name, numbers)
-        self._requests = 0
+        self._request_count = 0
 
     def report(self, engine: str, numbers: list[int]) -> None:
-        """Let an engine say what it holds."""
-        serves = {adapter(number): 1 for number in numbers}
-        report = EngineReport(0, (MODEL,), (), serves, {}, False, 0, 0)
+        """Deliver a report of an engine that serves these adapters."""
+        served = {adapter(number): 1 for number in numbers}
+        report = EngineReport(0, (MODEL,), (), served, {}, False, 0, 0)
         self.scheduler.reported(engine, report)
 
     def add_engine(self, name: str) -> None:
-        """Let there be one more engine, which has not reported yet."""
+        """Add an engine that has not reported yet."""
         upstream = Upstream(
             name, SERVICE, f"{name}:1", "zone", slots=96, models=(MODEL,)
         )
@@ -82,11 +82,11 @@
     def want(
         self, number: int, tokens: int = 800, worth: float = 1.0, aim_s: float = 1.0
     ) -> str:
-        """Let a request want an adapter; return its id."""
-        self._requests += 1
+        """Submit a request for an adapter; return its id."""
+        self._request_count += 1
         now = self.clock.monotonic()
-        want = Want(
-            f"r{self._requests}",
+        request = Want(
+            f"r{self._request_count}",
             "instance",
             SERVICE,
             adapter(number),
@@ -99,32 +99,32 @@
             now + 5 * SECOND,
             now + 2 * SECOND,
         )
-        self.scheduler.want(want)
-        return want.id
+        self.scheduler.want(request)
+        return request.id
 
-    def place(self, number: int, tokens: int = 800) -> tuple[str, str]:
-        """Let a request want an adapter that is served; return its id and engine."""
-        want_id = self.want(number, tokens)
+    def place_request(self, number: int, tokens: int = 800) -> tuple[str, str]:
+        """Submit a request for a served adapter; return its id and engine."""
+        request_id = self.want(number, tokens)
         [upstream] = [
             action.upstream
             for action in self.actions
-            if isinstance(action, Placed) and action.want.id == want_id
+            if isinstance(action, Placed) and action.want.id == request_id
         ]
-        return want_id, upstream
+        return request_id, upstream
 
     def plan(self) -> list[Order]:
-        """Plan a round; return the orders that it gives."""
+        """Plan a round 10 ms later; return the orders that it emits."""
         before = len(self.actions)
         self.clock.advance(SECOND / 100)
         self.scheduler.plan(by_time=True)
         return [item for item in self.actions[before:] if isinstance(item, Order)]
 
-    def answer(self, order: Order, answer: OrderAnswer) -> None:
-        """Answer an order."""
+    def answer_order(self, order: Order, answer: OrderAnswer) -> None:
+        """Deliver an engine's answer to an order."""
         self.scheduler.answered(order.upstream, order.number, answer)
 
     def placed(self) -> dict[str, str]:
-        """Return the engines of all requests that were placed, by request."""
+        """Return the engine that each placed request was sent to, by request id."""
         return {
             action.want.id: action.upstream
             for action in self.actions
@@ -132,7 +132,7 @@
         }
 
     def refused(self) -> set[str]:
-        """Return the requests that were refused."""
+        """Return the ids of the refused requests."""
         return {
             action.want.id for action in self.actions if isinstance(action, Refused)
         }
--- a/tests/test_engine_trust.py
+++ b/tests/test_engine_trust.py
@@ -1,4 +1,4 @@
-"""Engines that fail, or say nothing, get fewer requests; and get them back."""
+"""Engines that fail or stall get fewer requests until they have recovered."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from .scheduler_world import SECOND, SERVICE, SchedulerWorld
 
 
-class TrustTests(unittest.TestCase):
+class EngineHealthTests(unittest.TestCase):
     """Two engines serve the same adapter."""
 
     def setUp(self) -> None:
@@ -17,63 +17,66 @@
 
     def place(self) -> tuple[str, str]:
         """Place a request; return its id and engine."""
-        return self.world.place(1)
+        return self.world.place_request(1)
 
-    def finish(self, use: tuple[str, str], end: UseEnd, started: bool = True) -> None:
-        use_id, upstream = use
+    def finish(
+        self, sent: tuple[str, str], outcome: UseEnd, started: bool = True
+    ) -> None:
+        """End a request, by default after its first token."""
+        request_id, upstream = sent
         if started:
-            self.scheduler.started(upstream, use_id)
-        self.scheduler.ended(upstream, use_id, end)
+            self.scheduler.started(upstream, request_id)
+        self.scheduler.ended(upstream, request_id, outcome)
 
-    def chosen(self, count: int = 8) -> set[str]:
-        """Return the engines of some requests, one after the other."""
+    def chosen_engines(self, count: int = 8) -> set[str]:
+        """Place and finish requests one after another; return their engines."""
         found = set()
         for _ in range(count):
-            use = self.place()
-            found.add(use[1])
+            sent = self.place()
+            found.add(sent[1])
             self.clock.advance(SECOND / 20)
-            self.finish(use, UseEnd.WELL)
+            self.finish(sent, UseEnd.WELL)
         return found
 
-    def fail(self, end: UseEnd, times: int = 2) -> str:
-        """Let requests at one engine fail; return that engine."""
+    def fail(self, outcome: UseEnd, times: int = 2) -> str:
+        """Make requests at one engine fail; return that engine."""
         for number in range(times):
-            self.scheduler.ended("one", f"failed-{number}", end)
+            self.scheduler.ended("one", f"failed-{number}", outcome)
         return "one"
 
     def test_an_engine_that_fails_is_passed_over(self) -> None:
         failing = self.fail(UseEnd.FAILED)
-        self.assertNotIn(failing, self.chosen())
+        self.assertNotIn(failing, self.chosen_engines())
 
     def test_an_engine_that_cannot_be_reached_is_passed_over_at_once(self) -> None:
         failing = self.fail(UseEnd.UNREACHABLE, 1)
-        self.assertNotIn(failing, self.chosen())
+        self.assertNotIn(failing, self.chosen_engines())
 
     def test_an_engine_that_failed_is_tried_again_after_a_while(self) -> None:
         failing = self.fail(UseEnd.FAILED)
         self.clock.advance(30 * SECOND)
-        held = [self.place(), self.place()]
-        self.assertIn(failing, {upstream for _, upstream in held})
+        sent = [self.place(), self.place()]
+        self.assertIn(failing, {upstream for _, upstream in sent})
 
-    def test_an_end_that_says_nothing_changes_nothing(self) -> None:
-        use = self.place()
-        self.finish(use, UseEnd.UNKNOWN, started=False)
-        held = [self.place(), self.place()]
-        self.assertEqual({upstream for _, upstream in held}, {"one", "two"})
+    def test_an_unknown_outcome_changes_nothing(self) -> None:
+        first = self.place()
+        self.finish(first, UseEnd.UNKNOWN, started=False)
+        sent = [self.place(), self.place()]
+        self.assertEqual({upstream for _, upstream in sent}, {"one", "two"})
 
-    def test_an_engine_that_keeps_a_request_waiting_gets_no_other(self) -> None:
-        silent = self.place()[1]
+    def test_an_engine_with_an_overdue_first_token_gets_no_request(self) -> None:
+        stalled = self.place()[1]
         self.clock.advance(2 * SECOND)
-        self.assertNotIn(silent, self.chosen())
+        self.assertNotIn(stalled, self.chosen_engines())
 
-    def test_a_silent_engine_is_chosen_again_once_it_has_begun(self) -> None:
-        use = self.place()
+    def test_a_stalled_engine_is_chosen_again_after_its_first_token(self) -> None:
+        first = self.place()
         self.clock.advance(2 * SECOND)
-        self.finish(use, UseEnd.WELL)
-        held = [self.place(), self.place()]
-        self.assertIn(use[1], {upstream for _, upstream in held})
+        self.finish(first, UseEnd.WELL)
+        sent = [self.place(), self.place()]
+        self.assertIn(first[1], {upstream for _, upstream in sent})
 
-    def test_a_failing_engine_is_better_than_none(self) -> None:
+    def test_a_failing_engine_is_used_if_there_is_no_other(self) -> None:
         self.fail(UseEnd.UNREACHABLE, 3)
         only = self.world.upstreams[:1]
         self.scheduler.set_upstreams({SERVICE: self.world.settings}, only)
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -1,15 +1,14 @@
-"""An order that arrives late has no lower token than one that came before it.
+"""A delayed order must not arrive with a lower token than an earlier one had.
 
 An engine got an order with token 16 from an instance 139 ms after one with token 18
-from the same instance. Its lease had lapsed and was claimed anew by the same process,
-with nobody in between, under a new token: ``lease no longer held`` at 33.589 s and
-``lease held token=12`` at 34.604 s, both on one instance, where the token had been 0.
-Nothing tied the first order under the new token to the end of what had been sent under
-the old one: an order that is held up on its way is given up by its sender, and arrives
-when the next one has overtaken it on another connection. The same happens to what a
-process sent before it was killed and started again. Now a machine that finds its own
-claim the newest goes on under its token: its orders may overtake each other, and are
-told apart by the engine's order count.
+from the same instance. The lease had expired, and the same process claimed it again
+under a new token with no other holder in between: ``lease no longer held`` at 33.589 s
+and ``lease held token=12`` at 34.604 s on one instance, where the token had been 0. An
+order that was delayed under the old token was given up by its sender, and arrived after
+the first order under the new token, which went on another connection. The same happens
+to the orders that a process sent before it was killed and restarted. So a machine whose
+own claim is the newest keeps its token: its orders may overtake each other, and the
+engine's order count tells them apart.
 """
 
 import os
@@ -48,44 +47,45 @@
 
 
 class LateOrderTests(unittest.TestCase):
-    """The store is away until the lease has lapsed; orders are held up meanwhile.
+    """Orders are delayed while the lease expires or its holder restarts.
 
-    What has left already is dropped by nobody, and may wait unread at the engine.
+    The lease expires because the store is down. Nothing drops an order that was sent
+    already: it may wait unread at the engine.
     """
 
-    def start(self) -> World:
+    def started_world(self) -> World:
         world = started(3, 1)
         world.held_up.drops_unsent = False
         return world
 
-    def lapse(self, world: World, held_up_s: float) -> None:
-        """Let the lease of the only holder lapse with an order on its way."""
+    def expire_lease(self, world: World, delay_s: float) -> None:
+        """Let the only holder's lease expire while an order of it is delayed."""
         [holder] = world.holders()
         world.store.is_down = True
         world.run(1.5)
-        world.held_up.seconds.append(held_up_s)
+        world.held_up.seconds.append(delay_s)
         want(world, holder, "late")
         self.assertTrue(world.run(4.0, lambda: not world.holders()))
         world.run(SEND_MARGIN_S)
         self.assertFalse(world.held_up.seconds)
 
-    def test_a_lease_that_lapsed_goes_on_under_its_token(self) -> None:
-        for held_up_s in (1.5, 2.0, 3.0, 4.0):
-            with self.subTest(held_up_s=held_up_s):
-                world = self.start()
-                self.lapse(world, held_up_s)
+    def test_a_lease_that_expired_is_claimed_again_with_its_token(self) -> None:
+        for delay_s in (1.5, 2.0, 3.0, 4.0):
+            with self.subTest(delay_s=delay_s):
+                world = self.started_world()
+                self.expire_lease(world, delay_s)
                 world.store.is_down = False
                 for number in range(20):
                     want(world, "instance-0", f"a{number}")
                     world.run(0.25)
                 self.assertEqual(world.broken_turns(), [])
 
-    def test_so_does_one_whose_process_has_started_again(self) -> None:
-        for held_up_s in (0.6, 1.0, 2.0):
-            with self.subTest(held_up_s=held_up_s):
-                world = self.start()
+    def test_a_lease_keeps_its_token_when_its_process_restarts(self) -> None:
+        for delay_s in (0.6, 1.0, 2.0):
+            with self.subTest(delay_s=delay_s):
+                world = self.started_world()
                 [holder] = world.holders()
-                world.held_up.seconds.append(held_up_s)
+                world.held_up.seconds.append(delay_s)
                 want(world, holder, "late")
                 self.assertTrue(
                     world.run(1.0, lambda world=world: not world.held_up.seconds)
@@ -99,73 +99,75 @@
 
 
 class GivenUpCallTests(unittest.TestCase):
-    """A call that was given up must not arrive any more.
+    """A call that timed out must not arrive later.
 
-    Its connection was closed as one that rests: the system went on sending what was
-    held up, behind a cut or a loss, while the next order went on another connection.
+    Its connection used to be closed like an idle one, so the operating system went on
+    sending what a partition or packet loss had delayed, while the next order was sent
+    on another connection.
     """
 
     def setUp(self) -> None:
         self.loop = new_loop()
         self.addCleanup(self.loop.close)
-        self.ends = Queue[str]()
+        self.endings = Queue[str]()
 
-    def call(self, handler: Handler, patience: timedelta) -> object:
-        """Make a call as an order is sent, and close its connection."""
+    def call(self, handler: Handler, timeout: timedelta) -> object:
+        """Make a call in the way orders are sent, then close its client."""
         server = Server(handler)
         self.addCleanup(server.close)
         client = Client(server.address, self.loop)
-        result = run(self.loop, client.call("POST", "/order", [], b"{}", patience))
+        result = run(self.loop, client.call("POST", "/order", [], b"{}", timeout))
         client.close()
         return result
 
-    def note_end(self, call: Call) -> None:
-        """Note how the connection of a call ends, as the engine sees it."""
+    def record_ending(self, call: Call) -> None:
+        """Record how the connection of a call ends, as seen by the engine."""
         try:
-            self.ends.put("more" if call.peer.recv(1) else "closed")
+            self.endings.put("more" if call.peer.recv(1) else "closed")
         except ConnectionResetError:
-            self.ends.put("reset")
+            self.endings.put("reset")
 
-    def test_its_connection_is_reset(self) -> None:
-        result = self.call(self.note_end, timedelta(milliseconds=50))
+    def test_the_connection_of_a_call_that_timed_out_is_reset(self) -> None:
+        result = self.call(self.record_ending, timedelta(milliseconds=50))
         self.assertEqual(result, Broken(Why.TIMEOUT))
-        self.assertEqual(self.ends.get(timeout=LONGEST), "reset")
+        self.assertEqual(self.endings.get(timeout=LONGEST), "reset")
 
-    def test_the_connection_of_one_that_was_answered_ends_in_order(self) -> None:
+    def test_the_connection_of_an_answered_call_is_closed_normally(self) -> None:
         def answer(call: Call) -> None:
             call.respond(200, b"", {})
-            self.note_end(call)
+            self.record_ending(call)
 
         self.assertIsInstance(self.call(answer, timedelta(seconds=LONGEST)), Reply)
-        self.assertEqual(self.ends.get(timeout=LONGEST), "closed")
+        self.assertEqual(self.endings.get(timeout=LONGEST), "closed")
 
 
 class UnsentOrderTests(unittest.TestCase):
-    """An order must not arrive when its successor may already order.
+    """An order must not arrive when the next holder may already send orders.
 
-    An instance was killed with an order on its way. The system went on sending it for
-    three seconds; its zone had another holder by then, whose token was higher.
+    An instance was killed while an order was being sent. The operating system went on
+    sending it for three seconds; by then the availability zone had another holder with
+    a higher token.
     """
 
     def test_what_a_killed_instance_has_not_sent_is_dropped(self) -> None:
-        ends = Queue[str]()
+        endings = Queue[str]()
         killed: list[subprocess.Popen[bytes]] = []
 
         def kill(call: Call) -> None:
             killed[0].kill()
             try:
-                ends.put("more" if call.peer.recv(1) else "closed")
+                endings.put("more" if call.peer.recv(1) else "closed")
             except ConnectionResetError:
-                ends.put("reset")
+                endings.put("reset")
 
         engine = Server(kill)
         self.addCleanup(engine.close)
         code = ORDERING_PROCESS.format(address=engine.address, seconds=LONGEST)
         killed.append(subprocess.Popen([sys.executable, "-c", code], cwd=ROOT))
-        self.assertEqual(ends.get(timeout=LONGEST), "reset")
+        self.assertEqual(endings.get(timeout=LONGEST), "reset")
         killed[0].wait()
 
-    def test_the_system_keeps_it_no_longer_than_a_successor_waits(self) -> None:
+    def test_unsent_data_is_kept_no_longer_than_the_next_holder_waits(self) -> None:
         loop = new_loop()
         self.addCleanup(loop.close)
         engine = Server(lambda call: call.respond(200))
@@ -183,13 +185,13 @@
 
 
 class OrderCheckTests(unittest.TestCase):
-    """Whether an order may leave is asked when it leaves.
+    """Whether an order may be sent is checked right before it is sent.
 
-    It was asked before a connection was opened: an instance that stood still meanwhile
-    sent an order under a token that had lapsed, once it went on.
+    The check used to be made before a connection was opened. An instance that was
+    frozen while connecting then sent an order under a token that had expired.
     """
 
-    def test_a_token_that_lapses_while_connecting_sends_no_order(self) -> None:
+    def test_no_order_is_sent_if_the_token_expires_while_connecting(self) -> None:
         loop = new_loop()
         self.addCleanup(loop.close)
         engine = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""What a round of planning loads, and where."""
+"""Which adapters a planning round loads, and on which engines."""
 
 import unittest
 from datetime import timedelta
@@ -7,73 +7,74 @@
 from hypothesis import given, settings, strategies as st
 
 from ashhoist.orders import OrderAnswer
-from ashhoist.placement.rounds import Round
+from ashhoist.placement.rounds import PlanningRound
 
 from .scheduler_world import SECOND, SchedulerWorld, adapter
 
 
-class LoadPlaceTests(unittest.TestCase):
-    def test_what_waits_together_is_spread_by_what_will_be_read(self) -> None:
-        # A large prompt is on its way to one engine; the next goes to the other.
+class LoadPlacementTests(unittest.TestCase):
+    def test_loads_are_spread_by_the_prompts_that_wait_for_them(self) -> None:
+        # One engine loads an adapter for a long prompt, so the next load goes to the
+        # other one.
         world = SchedulerWorld({"one": [], "two": []})
         world.want(1, tokens=9000)
         [first] = world.plan()
-        world.answer(first, OrderAnswer.ACCEPTED)
+        world.answer_order(first, OrderAnswer.ACCEPTED)
         world.want(2, tokens=9000)
         [second] = world.plan()
         self.assertNotEqual(first.upstream, second.upstream)
 
-    def test_in_one_round_as_well(self) -> None:
+    def test_loads_of_one_round_are_spread_too(self) -> None:
         world = SchedulerWorld({"one": [], "two": []})
         for number in (1, 2):
             world.want(number, tokens=9000)
         orders = world.plan()
         self.assertEqual({order.upstream for order in orders}, {"one", "two"})
 
-    def test_a_promise_ends_with_its_load(self) -> None:
+    def test_a_reservation_ends_with_its_load(self) -> None:
         world = SchedulerWorld({"one": [], "two": []})
-        want_id = world.want(1, tokens=9000)
+        request_id = world.want(1, tokens=9000)
         [order] = world.plan()
-        world.answer(order, OrderAnswer.HOLDS)
-        self.assertIn(want_id, world.placed())
-        self.assertEqual(world.scheduler.engines[order.upstream].promised, 0)
+        world.answer_order(order, OrderAnswer.HOLDS)
+        self.assertIn(request_id, world.placed())
+        self.assertEqual(world.scheduler.engines[order.upstream].reserved_tokens, 0)
 
 
-class WaitingTests(unittest.TestCase):
-    """How many loads a request waits for."""
+class LoadWaitTests(unittest.TestCase):
+    """A request waits for one load only."""
 
-    def test_a_request_goes_where_its_adapter_was_loaded_for_it(self) -> None:
-        # The engine has got busy in the meantime; the other one is idle.
+    def test_a_request_is_sent_where_its_adapter_was_loaded_for_it(self) -> None:
+        # The engine became busy during the load, while the other one is idle.
         world = SchedulerWorld({"one": [7], "two": []})
-        want_id = world.want(1, tokens=9000)
+        request_id = world.want(1, tokens=9000)
         [order] = world.plan()
-        busy = world.scheduler.engines[order.upstream].work
+        inflight = world.scheduler.engines[order.upstream].inflight
         for number in range(4):
             now = world.clock.monotonic()
-            busy.begin(f"other-{number}", "instance", adapter(7), 9000, now)
-        world.answer(order, OrderAnswer.HOLDS)
-        self.assertEqual(world.placed().get(want_id), order.upstream)
+            inflight.add(f"other-{number}", "instance", adapter(7), 9000, now)
+        world.answer_order(order, OrderAnswer.HOLDS)
+        self.assertEqual(world.placed().get(request_id), order.upstream)
         self.assertEqual(world.plan(), [])
 
 
 class PlanningTimeTests(unittest.TestCase):
-    def test_rounds_that_take_long_come_seldom(self) -> None:
-        """A leader that only plans does not hear that loads have ended.
+    def test_slow_rounds_are_planned_less_often(self) -> None:
+        """A leader that plans all the time does not handle the answers to loads.
 
-        Symptom: after a burst all requests were late for seconds, though engines were
-        idle. Sequence: many requests waited; a round took 50 ms and was followed by the
-        next at once; answers lay unread, so still more waited. Cause: the time between
-        rounds did not depend on how long they take.
+        After a burst, all requests were late for seconds although engines were idle.
+        Many requests were queued, a round took 50 ms, and the next one followed at
+        once. Meanwhile answers were not read, so even more requests were queued. The
+        cause was that the time between rounds did not depend on how long they take.
         """
         world = SchedulerWorld({"one": [], "two": []})
         scheduler = world.scheduler
         rounds = 0
-        whole = scheduler._plan_round
+        plan_round = scheduler._plan_round
 
         def slow(now: timedelta) -> None:
             nonlocal rounds
             rounds += 1
-            whole(now)
+            plan_round(now)
             world.clock.advance(timedelta(milliseconds=50))
 
         scheduler._plan_round = slow  # type: ignore[method-assign]
@@ -85,52 +86,54 @@
 
 
 class BestEngineTests(unittest.TestCase):
-    """The engine that a round finds without looking at all of them."""
+    """The engine that a round chooses without computing the cost of all of them."""
 
     @settings(max_examples=60, deadline=None)
     @given(st.randoms(use_true_random=False), st.integers(1, 12))
-    def test_it_is_the_one_that_looking_at_all_finds(
-        self, source: Random, engines: int
+    def test_it_is_the_one_that_an_exhaustive_search_finds(
+        self, rng: Random, engines: int
     ) -> None:
-        world = SchedulerWorld({f"e{index}": [] for index in range(engines)}, places=3)
-        self.fill(world, source)
+        world = SchedulerWorld(
+            {f"e{index}": [] for index in range(engines)}, capacity=3
+        )
+        self.populate(world, rng)
         for number in range(100, 108):
-            world.want(number, tokens=source.choice((200, 2400, 9000)))
+            world.want(number, tokens=rng.choice((200, 2400, 9000)))
         scheduler = world.scheduler
-        round_ = Round(
+        round_ = PlanningRound(
             scheduler.engines.values(),
-            scheduler._holders,
+            scheduler._index,
             {"zone"},
             scheduler.popularity,
-            scheduler.wants.adapters(),
-            scheduler._wait_at,
-            scheduler._limited.wait,
+            scheduler.wants.demands(),
+            scheduler._first_token_wait,
+            scheduler._limited.permit_wait,
             world.clock.monotonic(),
         )
-        for wanted in scheduler.wants.adapters():
-            found = round_.best_engine(wanted)
+        for demand in scheduler.wants.demands():
+            found = round_.best_engine(demand)
             costs = {
-                engine.id: round_._cost(engine, wanted, wanted.most_tokens)
+                engine.id: round_._cost(engine, demand, demand.max_tokens)
                 for engine in scheduler.engines.values()
-                if round_._suits(engine, wanted)
+                if round_._can_load(engine, demand)
             }
             if found is None:
                 self.assertEqual(costs, {})
                 continue
             self.assertAlmostEqual(costs[found.id], min(costs.values()))
-            found.promised += source.choice((0, 5000))
-            round_.ordered(found, wanted)
+            found.reserved_tokens += rng.choice((0, 5000))
+            round_.record_order(found, demand)
 
-    def fill(self, world: SchedulerWorld, source: Random) -> None:
-        """Let engines hold and have copies of some adapters, and be busy."""
+    def populate(self, world: SchedulerWorld, rng: Random) -> None:
+        """Give engines random adapters, copies and requests in flight."""
         for name, engine in world.scheduler.engines.items():
-            copies = source.sample(range(95, 115), source.randrange(6))
+            copies = rng.sample(range(95, 115), rng.randrange(6))
             world.report(name, copies[:3])
             world.report(name, copies[3:])
-            for number in range(source.randrange(5)):
+            for number in range(rng.randrange(5)):
                 now = world.clock.monotonic()
-                use_id, tokens = f"{name}-{number}", source.randrange(9000)
-                engine.work.begin(use_id, "instance", adapter(1), tokens, now)
+                request_id, tokens = f"{name}-{number}", rng.randrange(9000)
+                engine.inflight.add(request_id, "instance", adapter(1), tokens, now)
         world.clock.advance(SECOND)
 
 
