--- a/packages/ashhoist-bench/src/ashhoist_bench/quota_ways.py
+++ b/packages/ashhoist-bench/src/ashhoist_bench/quota_ways.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from ashhoist.customers import Allowances, Granter, Quota, QuotaBounds, Standing
-from ashhoist.rates import LEFT_FOR, Bucket
+from ashhoist.rates import SHARE_DELEGATION_TIME, Bucket
 
 ZONES = 3
 LASTS_S = 40.0
@@ -316,7 +316,7 @@
         def leave() -> None:
             self._leave(instance)
             self._net.after(BEAT_EVERY_S, leave)
-            left = self._allowances[instance].left_over(self._net.time)
+            left = self._allowances[instance].take_unused(self._net.time)
             leader = self._net.leader_of(instance)
             for customer, tokens in left.items():
                 if leader is not None:
@@ -339,7 +339,7 @@
             return
         told_at = net.now - DELAY_S
         self._left_to[instance] = leader
-        lasts = LEFT_FOR.total_seconds()
+        lasts = SHARE_DELEGATION_TIME.total_seconds()
         self._left_until[instance] = told_at + DELAY_S + lasts
         moment = timedelta(seconds=told_at)
 
@@ -364,7 +364,7 @@
         if leader is None:
             self._alone(arrival, answered)
             return
-        extra = allowances.ahead(arrival.customer, net.time)
+        extra = allowances.expected_need(arrival.customer, net.time)
 
         def ask() -> None:
             granter = self._granter(leader)
@@ -398,7 +398,7 @@
         net = self._net
         if getattr(answered, "done", False):
             return
-        wait = self._allowances[arrival.instance].spend_alone(
+        wait = self._allowances[arrival.instance].spend_locally(
             arrival.customer,
             self._quotas[arrival.customer],
             arrival.tokens,
--- a/packages/ashhoist-bench/src/ashhoist_bench/rounds.py
+++ b/packages/ashhoist-bench/src/ashhoist_bench/rounds.py
@@ -16,7 +16,7 @@
 from ashhoist.clock import ManualClock
 from ashhoist.metrics import Metrics
 from ashhoist.orders import EngineReport
-from ashhoist.placement import Residency, Want
+from ashhoist.placement import PendingRequest, Residency
 from ashhoist.placement.permits import NoLimits
 from ashhoist.placement.scheduler import Scheduler
 from ashhoist.routing import EngineModel, EngineSettings
@@ -61,12 +61,14 @@
 
 
 def _report(scheduler: Scheduler, engine: str, held: dict[Adapter, int]) -> None:
-    scheduler.reported(engine, EngineReport(0, (MODEL,), (), held, {}, False, 0, 0))
+    scheduler.engine_reported(
+        engine, EngineReport(0, (MODEL,), (), held, {}, False, 0, 0)
+    )
 
 
-def _want(number: int, adapter: str, now: timedelta) -> Want:
+def _want(number: int, adapter: str, now: timedelta) -> PendingRequest:
     second = timedelta(seconds=1)
-    return Want(
+    return PendingRequest(
         f"r{number}",
         "instance",
         SERVICE,
@@ -93,9 +95,9 @@
     """Return the milliseconds of a round with requests that wait."""
     scheduler, clock = _scheduler(engines)
     for number in range(WAITING):
-        scheduler.want(_want(number, f"cold{number}", clock.monotonic()))
+        scheduler.submit(_want(number, f"cold{number}", clock.monotonic()))
     clock.advance(timedelta(milliseconds=10))
-    return _time(lambda: scheduler.plan(by_time=True))
+    return _time(lambda: scheduler.plan(on_timer=True))
 
 
 def _placing(engines: int) -> float:
@@ -106,7 +108,7 @@
     def place() -> None:
         for number in range(count):
             adapter = f"a{number % engines * COPIES}"
-            scheduler.want(_want(number, adapter, clock.monotonic()))
+            scheduler.submit(_want(number, adapter, clock.monotonic()))
 
     return _time(place) / count
 
--- a/packages/ashhoist/src/ashhoist/control/core.py
+++ b/packages/ashhoist/src/ashhoist/control/core.py
@@ -1,6 +1,6 @@
 """The control state of one instance, without sockets or threads.
 
-Input arrives as method calls and output leaves through `Outside`, so that tests can
+Input arrives as method calls and output leaves through `Effects`, so that tests can
 run many instances on one manual clock, connected by small fakes.
 """
 
@@ -24,33 +24,33 @@
 from ..placement import Residency
 from ..quarantine import Quarantine
 from ..routing import ServingConfiguration
-from ..routing.in_force import InForce
-from ..store import AppendResult, Newest, Pace, Position, Topic, Unavailable
-from ..store.follower import Followed
-from ..upstreams import Directory, Health, NamedLimit, RateLimits, UpstreamLeaves
-from . import inbox, messages
-from .agent import Agent
-from .beats import Beats
+from ..routing.active_configuration import ActiveConfiguration
+from ..store import AppendResult, Newest, Position, ReadPacing, Topic, Unavailable
+from ..store.follower import FollowedRecords
+from ..upstreams import Directory, Health, RateLimits, StatedLimit, UpstreamLeaving
+from . import message_handlers, messages
 from .crash_notices import CrashNotices
 from .crash_reports import CrashReports
-from .departures import Departures
+from .departure_notices import DepartureNotices
+from .effects import Effects
 from .election import Election
 from .gauges import Gauges
+from .heartbeats import HeartbeatSender
 from .hubs import Hubs, Identity
-from .knowledge import NOT_WHOLE, SHARED_TOPICS
+from .lease_handover import LeaseHandover
 from .limit_notices import LimitNotices
 from .lookups import Lookups
 from .membership import Membership
-from .order_desk import OrderRouter
 from .order_leases import OrderLeases
-from .outside import Outside
+from .order_router import OrderRouter
 from .peers import InstanceRecord, Peers
 from .permits import Permits
+from .placement_client import PlacementClient
 from .proofs import MICROSECOND, Proofs
 from .quotas import Quotas
-from .readers import MILLISECOND, FirstRead, Readers
+from .readers import MILLISECOND, InitialRead, LogReaderSelection
 from .records import Decode, SharedRecords
-from .release import LeaseHandover
+from .replica import INCOMPLETE, SHARED_TOPICS
 from .scheduling import Scheduling
 
 PEER_CHECK_INTERVAL = timedelta(milliseconds=500)
@@ -65,7 +65,7 @@
     zone: str
     address: str
     life: str
-    paces: Mapping[Topic, Pace]
+    paces: Mapping[Topic, ReadPacing]
     seeds: tuple[str, ...] = ()
     lease: LeaseTiming = LeaseTiming()
     capacity: float = 1.0
@@ -84,23 +84,23 @@
         self,
         settings: CoreSettings,
         decode: Decode,
-        in_force: InForce,
+        active_configuration: ActiveConfiguration,
         directory: Directory,
         residency: Residency,
         health: Health,
         limits: RateLimits,
         proof: Proof,
         quarantine: Quarantine,
-        outside: Outside,
+        effects: Effects,
         clock: Clock,
         metrics: Metrics,
         log: Logger,
     ) -> None:
         self._settings = settings
-        self._in_force = in_force
+        self._in_force = active_configuration
         self._directory = directory
         self.residency = residency
-        self.outside = outside
+        self.effects = effects
         self._clock = clock
         self._metrics = metrics
         self._log = log
@@ -108,19 +108,21 @@
         self.peers = Peers(settings.name)
         self._hubs = Hubs(settings.identity, self.peers, clock)
         self.membership = Membership(
-            settings.identity, settings.seeds, self.peers, self._hubs, outside, clock
+            settings.identity, settings.seeds, self.peers, self._hubs, effects, clock
+        )
+        self.placement_client = PlacementClient(
+            settings.zone, directory, self._send_to_leader, clock
         )
-        self.agent = Agent(settings.zone, directory, self._send_to_leader, clock)
         self.records = SharedRecords(
             decode,
-            in_force,
+            active_configuration,
             directory,
             residency,
             health,
             quarantine,
             self.peers,
             self._hubs,
-            outside,
+            effects,
             settings.paces,
             self._apply_upstreams,
             self.membership.log_restored,
@@ -135,18 +137,18 @@
             settings.lease,
             self.peers,
             self._hubs,
-            outside,
+            effects,
             lambda: self.membership.knows_others and not self.peers.by_name,
             clock,
             log,
         )
-        self.desk = OrderRouter(
-            settings.name, holder, self.leases, self.peers, outside, clock, log
+        self.order_router = OrderRouter(
+            settings.name, holder, self.leases, self.peers, effects, clock, log
         )
         self.quotas = Quotas(
             settings.name,
             settings.quotas,
-            in_force,
+            active_configuration,
             self.peers,
             lambda: self.membership.knows_others,
             self._send,
@@ -157,20 +159,20 @@
         self.permits = Permits(
             settings.name,
             limits,
-            directory.life_of,
+            directory.incarnation_of,
             lambda: self.quotas.instances,
-            self.quotas.leaves_since,
+            self.quotas.delegated_since,
             self._send,
             clock,
             metrics,
         )
         self.scheduling = Scheduling(
-            self.desk.reaches,
+            self.order_router.reaches,
             self._order,
             directory,
             self.permits,
             residency,
-            outside,
+            effects,
             self._send,
             self._hubs.linked_hubs,
             clock,
@@ -179,12 +181,12 @@
         )
         self.proofs = Proofs(
             proof,
-            self.records.knowledge,
+            self.records.replica,
             self.peers,
             self._hubs,
-            outside,
+            effects,
             lambda: self._has_customers,
-            self.quotas.leaves_since,
+            self.quotas.delegated_since,
             self._catch_up_configuration,
             self._send,
             clock,
@@ -198,12 +200,12 @@
             quarantine,
             self.peers,
             lambda: self.scheduling.leads,
-            outside,
+            effects,
             clock,
             metrics,
             log,
         )
-        self.departures = Departures(
+        self.departure_notices = DepartureNotices(
             directory, self.peers, self._hubs, self._apply_upstreams, self._send, log
         )
         self.limit_notices = LimitNotices(
@@ -222,17 +224,17 @@
         self._election = Election(settings.name, self.peers, self._hubs, clock)
         self.leader: str | None = None
         self.stopping = False
-        self._lease_handover = LeaseHandover(self.desk, self.leases, clock)
-        self._first_read = FirstRead(self._hubs, clock)
-        self._readers = Readers(settings.name, self.peers, self._hubs, clock)
-        self.reads_itself = False
-        self._heartbeats = Beats(
+        self._lease_handover = LeaseHandover(self.order_router, self.leases, clock)
+        self._first_read = InitialRead(self._hubs, clock)
+        self._readers = LogReaderSelection(settings.name, self.peers, self._hubs, clock)
+        self.is_log_reader = False
+        self._heartbeats = HeartbeatSender(
             settings.name,
             settings.zone,
             self.peers,
             self._hubs,
-            outside,
-            lambda: self.reads_itself,
+            effects,
+            lambda: self.is_log_reader,
             self.leases.claims,
             self._make_heartbeat,
             clock,
@@ -262,7 +264,7 @@
         """Start a planned stop."""
         self.stopping = True
         self._lease_handover.begin()
-        self.outside.unregister()
+        self.effects.unregister()
         self._heartbeats.send_all(self.leader)
 
     def instances(self, records: list[InstanceRecord]) -> None:
@@ -276,28 +278,28 @@
             self.membership.knows_others
         ):
             for topic in SHARED_TOPICS:
-                self.outside.read_now(topic)
+                self.effects.read_now(topic)
 
     @property
     def _has_needed_state(self) -> bool:
         """Return whether this instance has the state that it needs to serve."""
         needed = self._in_force.table is not None and self.records.knows_all
-        crashes = self.records.knows_latest(Topic.CRASHES) and self._was_greeted
+        crashes = self.records.knows_latest(Topic.CRASHES) and self._has_peer_state
         return self._first_read.suffices(needed, crashes)
 
     @property
-    def _was_greeted(self) -> bool:
+    def _has_peer_state(self) -> bool:
         """Return whether a peer has sent state that the log may not have yet.
 
         Also true if there are no other instances.
         """
         if self.membership.knows_others and not self.peers.by_name:
             return True
-        return any(peer.beat is not None for peer in self.peers.by_name.values())
+        return any(peer.heartbeat is not None for peer in self.peers.by_name.values())
 
     # Records of the shared log
 
-    def followed(self, followed: Followed) -> None:
+    def followed(self, followed: FollowedRecords) -> None:
         """Apply records that were read from the log."""
         self.leases.log_answered()
         self.records.followed(followed)
@@ -349,10 +351,10 @@
     def peer_up(self, peer: str) -> None:
         """Handle a new link to an instance."""
         now = self._clock.monotonic()
-        self.peers.up(peer, now)
+        self.peers.link_up(peer, now)
         self._log.info("instance linked", peer=peer)
         self.membership.introduce(peer)
-        self.departures.greet(peer)
+        self.departure_notices.greet(peer)
         self.limit_notices.greet(peer)
         self.crash_notices.greet(peer)
         # The heartbeat must come last: the peer takes the first one as the sign that
@@ -362,7 +364,7 @@
 
     def peer_down(self, peer: str) -> None:
         """Handle the loss of a link."""
-        self.peers.down(peer, self._clock.monotonic())
+        self.peers.link_down(peer, self._clock.monotonic())
         self._log.info("instance lost", peer=peer)
         self.scheduling.instance_gone(peer)
         self._heartbeats.forget(peer)
@@ -370,40 +372,40 @@
         self._elect()
         self.membership.relink()
 
-    def peer_message(self, peer: str, message: Any) -> None:
+    def handle_message(self, peer: str, message: Any) -> None:
         """Handle a message of a linked instance."""
-        if not inbox.handle(self, peer, message):
+        if not message_handlers.handle(self, peer, message):
             self._metrics.count("bad_frames", "unexpected")
 
-    def beaten(self, peer: str, beat: messages.Beat) -> None:
+    def handle_heartbeat(self, peer: str, heartbeat: messages.Heartbeat) -> None:
         """Handle a heartbeat of another instance."""
         now = self._clock.monotonic()
         was_leading = self.peers.leads(peer)
-        peer_changed = self.peers.beat(peer, beat, now)
-        for row in beat.claims:
+        peer_changed = self.peers.record_heartbeat(peer, heartbeat, now)
+        for row in heartbeat.claims:
             self.leases.claim_received(Claim.from_row(row))
-        self.scheduling.epoch_received(beat.epoch)
-        self.membership.compare(peer, beat.instances)
-        self.quotas.beaten(peer, beat)
+        self.scheduling.epoch_received(heartbeat.epoch)
+        self.membership.compare(peer, heartbeat.instances)
+        self.quotas.handle_heartbeat(peer, heartbeat)
         if peer_changed:
             self._elect()
-        if beat.leads and peer == self.leader:
+        if heartbeat.leads and peer == self.leader:
             self.proofs.heard(peer)
             self.permits.leader_heartbeat(peer)
-        if beat.leads and not was_leading and peer == self.leader:
+        if heartbeat.leads and not was_leading and peer == self.leader:
             # It ignored what this instance sent before it became the leader.
-            self.agent.greet_leader()
+            self.placement_client.send_all_to_leader()
         for topic in SHARED_TOPICS:
-            peer_offset = Position(beat.offsets.get(str(topic), NOT_WHOLE))
+            peer_offset = Position(heartbeat.offsets.get(str(topic), INCOMPLETE))
             self.records.catch_up(peer, topic, peer_offset)
-        self.records.pull_newer_version(peer, beat.configuration)
+        self.records.pull_newer_version(peer, heartbeat.configuration)
 
-    def share_left(self, peer: str, since: int) -> None:
+    def share_delegated(self, peer: str, since: int) -> None:
         """Handle an instance's delegation of its share of all rates to this one."""
         self.quotas.share_delegated(peer, since)
         self.permits.share_delegated(peer, since)
 
-    def asked(self, peer: str, ask: messages.Ask) -> None:
+    def asked(self, peer: str, ask: messages.PlacementQuery) -> None:
         """Handle another instance's request that waits for its adapter."""
         if not self.scheduling.leads:
             # The sender has not heard of the current leader; a heartbeat names it.
@@ -413,9 +415,9 @@
 
     def _send(self, instance: str, message: Any) -> None:
         if instance == self._settings.name:
-            self.peer_message(instance, message)
+            self.handle_message(instance, message)
             return
-        self.outside.send_to(instance, message)
+        self.effects.send_to(instance, message)
 
     def _send_to_leader(self, message: Any) -> None:
         if self.leader is not None:
@@ -441,10 +443,10 @@
         self.membership.relink()
         if leader is None:
             return
-        self.agent.greet_leader()
+        self.placement_client.send_all_to_leader()
 
     def _order(self, order: Order) -> None:
-        answer = self.desk.send(order)
+        answer = self.order_router.send(order)
         if answer is not None:
             self.scheduling.answered(order.upstream, order.number, answer)
 
@@ -452,24 +454,24 @@
 
     def order_answered(self, order: Order, answer: OrderAnswer) -> None:
         """Handle the outcome of an order that this instance sent to an engine."""
-        self.desk.ended(order, answer)
+        self.order_router.ended(order, answer)
         if answer is OrderAnswer.FENCED:
             self.leases.order_fenced(order.zone, order.fence)
         if order.origin == self._settings.name:
             self.scheduling.answered(order.upstream, order.number, answer)
             return
-        self.desk.answered(order, answer)
+        self.order_router.answered(order, answer)
 
     def reported(self, upstream: str, report: EngineReport | None) -> None:
         """Handle an engine's report; None if it did not answer."""
         self.scheduling.reported(upstream, report)
-        if report is not None and report.leaves:
+        if report is not None and report.leaving:
             self.engine_leaves(upstream)
 
     def engine_leaves(self, upstream: str) -> None:
         """Handle an engine's notice, in an answer to this instance, that it leaves."""
-        notice = UpstreamLeaves(upstream, self._directory.life_of(upstream))
-        self.departures.noticed(notice)
+        notice = UpstreamLeaving(upstream, self._directory.incarnation_of(upstream))
+        self.departure_notices.noticed(notice)
 
     def engine_limited(
         self, upstream: str, per_second: float | None, asked_at: timedelta
@@ -480,21 +482,21 @@
         """
         if per_second is None:
             return
-        life = self._directory.life_of(upstream)
+        life = self._directory.incarnation_of(upstream)
         now = self._clock.monotonic()
-        self.limit_notices.noticed(NamedLimit(life, per_second, asked_at, now))
+        self.limit_notices.noticed(StatedLimit(life, per_second, asked_at, now))
 
     # Periodic work
 
     def settle(self) -> None:
         """Act on the changes that a batch of messages has made."""
         if self.leader is not None:
-            self.agent.tell_uses()
+            self.placement_client.send_use_changes()
         if self.quotas.take_tight_changed():
             self._heartbeats.send_all(self.leader)
-        self.crash_notices.tell_held(self.crashes.update_quarantined())
+        self.crash_notices.notify_quarantined(self.crashes.update_quarantined())
         self.crashes.step()
-        self.scheduling.plan(by_time=False)
+        self.scheduling.plan(on_timer=False)
 
     def tick(self) -> None:
         """Do the periodic work that is due."""
@@ -516,34 +518,36 @@
             self._check_peers(now)
             self._gauges.measure(self.ready)
         self.settle()
-        self.scheduling.plan(by_time=True)
+        self.scheduling.plan(on_timer=True)
 
     def _update_log_reading(self) -> None:
         """Update whether this instance reads the log itself."""
-        reads = self._readers.reads_itself(self.leader)
-        if reads == self.reads_itself:
+        reads = self._readers.is_log_reader(self.leader)
+        if reads == self.is_log_reader:
             return
-        self.reads_itself = reads
+        self.is_log_reader = reads
         event = "reads the log" if reads else "leaves the log to others"
         self._log.info(event, leader=self.leader)
 
     def _check_peers(self, now: timedelta) -> None:
         for peer in self.peers.silent(now):
             self._log.info("instance silent", peer=peer)
-            self.outside.drop(peer, "silent")
-        for peer in self._hubs.surplus():
-            self.outside.drop(peer, "surplus")
+            self.effects.drop(peer, "silent")
+        for peer in self._hubs.surplus_links():
+            self.effects.drop(peer, "surplus")
         self.peers.forget_lost(now)
         self.membership.relink()
 
-    def _make_heartbeat(self, every: timedelta, claims: list[Claim]) -> messages.Beat:
-        return messages.Beat(
+    def _make_heartbeat(
+        self, every: timedelta, claims: list[Claim]
+    ) -> messages.Heartbeat:
+        return messages.Heartbeat(
             self.stopping,
             self.records.reads_for // MILLISECOND,
             self.scheduling.leads,
             self.scheduling.epoch,
             self._in_force.version,
-            self.records.knowledge.offsets(),
+            self.records.replica.offsets(),
             [claim.to_row() for claim in claims],
             round(every / timedelta(milliseconds=1)),
             len(self.peers.by_name),
--- a/packages/ashhoist/src/ashhoist/control/crash_notices.py
+++ b/packages/ashhoist/src/ashhoist/control/crash_notices.py
@@ -44,14 +44,14 @@
         self._hubs = hubs
         self._send = send
 
-    def tell_held(self, requests: list[str]) -> None:
+    def notify_quarantined(self, requests: list[str]) -> None:
         """Send all linked instances the crashes behind quarantined requests.
 
         Other instances may not have read the crash records from the log yet.
         """
         if not requests:
             return
-        self._tell_all(self._peers.linked(), self._quarantine.behind(requests))
+        self._notify(self._peers.linked(), self._quarantine.crashes_of(requests))
 
     def greet(self, peer: str) -> None:
         """Send a newly linked instance the crashes that are not on the log.
@@ -60,8 +60,8 @@
         they were seen. If all crashes seen anywhere were relayed, the volume would grow
         with the number of instances.
         """
-        held = self._quarantine.behind(self._quarantine.held_unwritten())
-        self._tell_all([peer], [*held, *self._seen_here()])
+        held = self._quarantine.crashes_of(self._quarantine.held_unwritten())
+        self._notify([peer], [*held, *self._seen_here()])
 
     def _seen_here(self) -> list[Crash]:
         """Return unwritten crashes seen here, up to `MAX_REQUESTS_PER_GREETING`."""
@@ -74,27 +74,28 @@
             crashes.append(crash)
         return crashes
 
-    def told(self, peer: str, message: messages.CrashesSeen) -> None:
+    def notices_received(self, peer: str, message: messages.CrashNotice) -> None:
         """Record another instance's crashes.
 
         A hub relays to its members those that quarantine a further request.
         """
         crashes = [
-            Crash(life, instance, frozenset(requests))
-            for life, instance, requests in message.rows
+            Crash(incarnation, instance, frozenset(requests))
+            for incarnation, instance, requests in message.rows
         ]
         held_before = self._quarantine.held
         for crash in crashes:
-            self._quarantine.seen(crash)
+            self._quarantine.add_unwritten(crash)
         newly_held = self._quarantine.held - held_before
-        relayed = self._quarantine.behind(sorted(newly_held))
-        self._tell_all(self._hubs.others_to_tell(peer), relayed)
+        relayed = self._quarantine.crashes_of(sorted(newly_held))
+        self._notify(self._hubs.members_except(peer), relayed)
 
-    def _tell_all(self, receivers: list[str], crashes: list[Crash]) -> None:
+    def _notify(self, receivers: list[str], crashes: list[Crash]) -> None:
         if not crashes:
             return
         rows = [
-            [crash.life, crash.instance, sorted(crash.requests)] for crash in crashes
+            [crash.incarnation, crash.instance, sorted(crash.requests)]
+            for crash in crashes
         ]
         for receiver in receivers:
-            self._send(receiver, messages.CrashesSeen(rows))
+            self._send(receiver, messages.CrashNotice(rows))
--- a/packages/ashhoist/src/ashhoist/control/crash_reports.py
+++ b/packages/ashhoist/src/ashhoist/control/crash_reports.py
@@ -10,11 +10,17 @@
 from ..clock import ZERO, Clock
 from ..logs import Logger
 from ..metrics import Metrics
-from ..quarantine import Crash, Quarantine, RequestCut, RequestWhole, Whole
+from ..quarantine import (
+    Completion,
+    Crash,
+    Quarantine,
+    RequestCompleted,
+    RequestInterrupted,
+)
 from ..rates import Bucket
 from ..store import Appended, AppendResult
 from . import messages
-from .outside import Outside
+from .effects import Effects
 from .peers import Peers
 
 MIN_RETRY_PAUSE = timedelta(milliseconds=500)
@@ -59,7 +65,7 @@
         quarantine: Quarantine,
         peers: Peers,
         leads: Callable[[], bool],
-        outside: Outside,
+        effects: Effects,
         clock: Clock,
         metrics: Metrics,
         log: Logger,
@@ -68,7 +74,7 @@
         self._quarantine = quarantine
         self._peers = peers
         self._leads = leads
-        self._outside = outside
+        self._outside = effects
         self._clock = clock
         self._metrics = metrics
         self._log = log
@@ -93,19 +99,19 @@
         self._rewrite_at = ZERO
         self._held: frozenset[str] = frozenset()
 
-    def cut(self, message: RequestCut) -> None:
+    def record_crash(self, message: RequestInterrupted) -> None:
         """Record that an upstream crashed while it ran a request of this instance."""
-        crash = Crash(message.life, self._own, frozenset({message.request}))
-        self._quarantine.seen(crash)
-        self._seen_by_life.setdefault(message.life, set()).add(message.request)
+        crash = Crash(message.incarnation, self._own, frozenset({message.request}))
+        self._quarantine.add_unwritten(crash)
+        self._seen_by_life.setdefault(message.incarnation, set()).add(message.request)
 
-    def whole(self, message: RequestWhole) -> None:
+    def record_answer(self, message: RequestCompleted) -> None:
         """Record the complete answer to a request, if the request is a suspect."""
-        record = Whole(message.request)
+        record = Completion(message.request)
         if self._quarantine.is_suspect(message.request):
             self._enqueue(record.key, record.encode())
 
-    def write_for(self, message: messages.WriteCrash) -> None:
+    def write_for(self, message: messages.CrashWriteRequest) -> None:
         """Write a record on behalf of an instance that the log rejects."""
         self._not_own.add(message.key)
         self._enqueue(message.key, message.value)
@@ -123,8 +129,8 @@
     def _enqueue_seen(self) -> None:
         """Enqueue the crashes seen since the last call, one record per incarnation."""
         seen, self._seen_by_life = self._seen_by_life, {}
-        for life, requests in seen.items():
-            crash = Crash(life, self._own, frozenset(requests))
+        for incarnation, requests in seen.items():
+            crash = Crash(incarnation, self._own, frozenset(requests))
             self._enqueue(crash.key, self._quarantine.to_write(crash).encode())
 
     def step(self) -> None:
@@ -197,7 +203,7 @@
         for key, value in self._unwritten.items():
             if key in self._not_own or self._handed_over.get(key) == value:
                 continue
-            if self._outside.send_to(helper, messages.WriteCrash(key, value)):
+            if self._outside.send_to(helper, messages.CrashWriteRequest(key, value)):
                 self._handed_over[key] = value
         return helper
 
--- a/packages/ashhoist/src/ashhoist/control/departures.py
+++ b/packages/ashhoist/src/ashhoist/control/departure_notices.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from ..logs import Logger
-from ..upstreams import Directory, UpstreamLeaves
+from ..upstreams import Directory, UpstreamLeaving
 from . import messages
 from .hubs import Hubs
 from .peers import Peers
 
 
-class Departures:
+class DepartureNotices:
     """Learns of leaving upstreams from answers and other instances, and relays that.
 
     Parameters
@@ -43,40 +43,42 @@
         self._send = send
         self._log = log
 
-    def noticed(self, notice: UpstreamLeaves) -> None:
+    def noticed(self, notice: UpstreamLeaving) -> None:
         """Handle a notice in an upstream's answer to this instance."""
         if self._apply([notice], "answer"):
-            self._tell_all(self._peers.linked(), [notice])
+            self._notify(self._peers.linked(), [notice])
 
-    def told(self, peer: str, message: messages.Leaving) -> None:
+    def notices_received(self, peer: str, message: messages.DepartureNotice) -> None:
         """Handle another instance's notices; a hub relays new ones to its members."""
-        notices = [UpstreamLeaves(*row) for row in message.rows]
+        notices = [UpstreamLeaving(*row) for row in message.rows]
         new_notices = self._apply(notices, peer)
-        self._tell_all(self._hubs.others_to_tell(peer), new_notices)
+        self._notify(self._hubs.members_except(peer), new_notices)
 
     def greet(self, peer: str) -> None:
         """Send a newly linked instance the notices that are not on the log."""
-        self._tell_all([peer], self._directory.leaving_unwritten())
+        self._notify([peer], self._directory.unrecorded_leaving())
 
     def _apply(
-        self, notices: list[UpstreamLeaves], source: str
-    ) -> list[UpstreamLeaves]:
+        self, notices: list[UpstreamLeaving], source: str
+    ) -> list[UpstreamLeaving]:
         """Apply notices; return those that were new."""
-        new_notices = [notice for notice in notices if self._directory.leaves(notice)]
+        new_notices = [
+            notice for notice in notices if self._directory.mark_leaving(notice)
+        ]
         for notice in new_notices:
             self._log.info(
                 "upstream leaves",
                 upstream=notice.upstream_id,
-                life=notice.life,
+                life=notice.incarnation,
                 source=source,
             )
         if new_notices:
             self._upstreams_changed()
         return new_notices
 
-    def _tell_all(self, receivers: list[str], notices: list[UpstreamLeaves]) -> None:
+    def _notify(self, receivers: list[str], notices: list[UpstreamLeaving]) -> None:
         if not notices:
             return
-        rows = [[notice.upstream_id, notice.life] for notice in notices]
+        rows = [[notice.upstream_id, notice.incarnation] for notice in notices]
         for receiver in receivers:
-            self._send(receiver, messages.Leaving(rows))
+            self._send(receiver, messages.DepartureNotice(rows))
--- a/packages/ashhoist/src/ashhoist/control/outside.py
+++ b/packages/ashhoist/src/ashhoist/control/effects.py
@@ -4,12 +4,12 @@
 from typing import Any, Protocol
 
 from ..orders import LeaseAction, Order
-from ..placement.actions import AskReport
+from ..placement.actions import FetchReport
 from ..store import Topic
 from ..types import Endpoint
 
 
-class Outside(Protocol):
+class Effects(Protocol):
     """Carries out the decisions of `Core`; no method blocks."""
 
     def send_to(self, peer: str, message: Any) -> bool:
@@ -42,7 +42,7 @@
     def order(self, order: Order) -> None:
         """Send an order to an engine."""
 
-    def report(self, request: AskReport) -> None:
+    def report(self, request: FetchReport) -> None:
         """Request a report from an engine."""
 
     def forget_upstream(self, upstream: str) -> None:
--- a/packages/ashhoist/src/ashhoist/control/engines.py
+++ b/packages/ashhoist/src/ashhoist/control/engines.py
@@ -9,7 +9,7 @@
 from ..http.client import Client
 from ..loop import Loop, Steps, Task
 from ..orders import EngineReport, Order, OrderAnswer, OrderReply
-from ..placement.actions import AskReport
+from ..placement.actions import FetchReport
 
 MIN_ORDER_TIMEOUT = timedelta(milliseconds=80)
 MAX_ORDER_TIMEOUT = timedelta(milliseconds=250)
@@ -19,7 +19,7 @@
 INITIAL_ANSWER_TIME = timedelta(milliseconds=20)
 SMOOTHING = 0.2
 REPORT_TIMEOUT = timedelta(milliseconds=700)
-UNSENT_KEPT = timedelta(milliseconds=300)
+UNSENT_TIMEOUT = timedelta(milliseconds=300)
 """How long the operating system may try to transmit an order. The next lease holder
 sends orders from half a second after the last moment at which this instance may, and
 the operating system is late in ending such an attempt."""
@@ -56,7 +56,7 @@
     """
 
     client: Client
-    waiting: deque[Order | AskReport] = field(default_factory=deque)
+    waiting: deque[Order | FetchReport] = field(default_factory=deque)
     busy: bool = False
     forgotten: bool = False
     answer_time: timedelta = INITIAL_ANSWER_TIME
@@ -91,13 +91,13 @@
         self,
         client: Client,
         order: Order,
-        patience: timedelta,
+        timeout: timedelta,
         may_send: Callable[[], bool],
     ) -> Steps[OrderReply]:
         """Send an order unless `may_send` returns False; return its outcome."""
 
     def report(
-        self, client: Client, upstream: str, patience: timedelta
+        self, client: Client, upstream: str, timeout: timedelta
     ) -> Steps[EngineReport | None]:
         """Request a report; return None if the engine does not answer."""
 
@@ -108,7 +108,7 @@
     If this process ends or is suspended, data of an order that the operating system has
     not transmitted yet must not arrive after the first orders of the next lease holder.
     """
-    return Client(address, loop, UNSENT_KEPT)
+    return Client(address, loop, UNSENT_TIMEOUT)
 
 
 class EngineControl:
@@ -140,11 +140,11 @@
         """Send an order; the outcome is passed on as `OrderDone`."""
         self._enqueue(self._connection(order.upstream, order.address), order)
 
-    def report(self, request: AskReport) -> None:
+    def report(self, request: FetchReport) -> None:
         """Request a report from an engine; it is passed on as `ReportDone`."""
         self._enqueue(self._connection(request.upstream, request.address), request)
 
-    def _enqueue(self, connection: "_Connection", item: Order | AskReport) -> None:
+    def _enqueue(self, connection: "_Connection", item: Order | FetchReport) -> None:
         connection.waiting.append(item)
         if not connection.busy:
             connection.busy = True
@@ -181,7 +181,7 @@
             )
         self._send(OrderDone(order, reply, sent_at))
 
-    def _report(self, connection: "_Connection", request: AskReport) -> Steps[None]:
+    def _report(self, connection: "_Connection", request: FetchReport) -> Steps[None]:
         sent_at = self._loop.clock.monotonic()
         report = yield from self._protocol.report(
             connection.client, request.upstream, REPORT_TIMEOUT
--- a/packages/ashhoist/src/ashhoist/control/gauges.py
+++ b/packages/ashhoist/src/ashhoist/control/gauges.py
@@ -5,9 +5,9 @@
 from ..clock import Clock
 from ..metrics import Metrics
 from ..upstreams import Directory
-from .knowledge import SHARED_TOPICS
 from .peers import Peers
 from .records import SharedRecords
+from .replica import SHARED_TOPICS
 from .scheduling import Scheduling
 
 
@@ -35,7 +35,7 @@
         """Set all gauges; `ready` is whether this instance can serve callers."""
         now = self._clock.monotonic()
         scheduler = self._scheduling.scheduler
-        waiting = len(scheduler.wants) if scheduler is not None else 0
+        waiting = len(scheduler.pending_requests) if scheduler is not None else 0
         gauge = self._metrics.gauge
         gauge("ready", ready)
         gauge("leads", self._scheduling.leads)
@@ -52,7 +52,7 @@
         """Set each topic's time since its last read, and the greatest as the log's."""
         lags: list[float] = []
         for topic in SHARED_TOPICS:
-            lag = (now - self._records.knowledge.read_at(topic)).total_seconds()
+            lag = (now - self._records.replica.read_at(topic)).total_seconds()
             self._metrics.gauge("topic_lag_seconds", lag, topic)
             lags.append(lag)
         self._metrics.gauge("log_lag_seconds", max(lags))
--- a/packages/ashhoist/src/ashhoist/control/beats.py
+++ b/packages/ashhoist/src/ashhoist/control/heartbeats.py
@@ -12,12 +12,12 @@
 
 from ..clock import Clock
 from ..orders import Claim
+from .effects import Effects
 from .hubs import Hubs
-from .messages import Beat
-from .outside import Outside
+from .messages import Heartbeat
 from .peers import Peers
 
-READER_BEATS = timedelta(milliseconds=500)
+READER_INTERVAL = timedelta(milliseconds=500)
 """From the leader, and from the other log readers, to all instances. The loss of one is
 noticed after 2.4 intervals: 1.2 s of the 2 s within which a change must take effect."""
 HUB_INTERVAL = timedelta(seconds=1)
@@ -29,7 +29,7 @@
 """Interval at which unchanged claims are sent again: well within the term of a lease,
 so that no instance considers a renewed lease expired."""
 
-MakeHeartbeat = Callable[[timedelta, list[Claim]], Beat]
+MakeHeartbeat = Callable[[timedelta, list[Claim]], Heartbeat]
 
 
 @dataclass(slots=True)
@@ -41,14 +41,14 @@
     claims_sent_at: timedelta | None = None
 
 
-class Beats:
+class HeartbeatSender:
     """Sends the heartbeats of this instance to each other instance when they are due.
 
     Parameters
     ----------
     own, zone : str
         This instance's name and availability zone.
-    reads_itself : callable
+    is_log_reader : callable
         Returns whether this instance reads the log, so that others need not.
     claims : callable
         Returns the newest lease claims known to this instance.
@@ -63,8 +63,8 @@
         zone: str,
         peers: Peers,
         hubs: Hubs,
-        outside: Outside,
-        reads_itself: Callable[[], bool],
+        effects: Effects,
+        is_log_reader: Callable[[], bool],
         claims: Callable[[], list[Claim]],
         make: MakeHeartbeat,
         clock: Clock,
@@ -73,8 +73,8 @@
         self._zone = zone
         self._peers = peers
         self._hubs = hubs
-        self._outside = outside
-        self._reads_itself = reads_itself
+        self._outside = effects
+        self._reads_itself = is_log_reader
         self._claims = claims
         self._make_heartbeat = make
         self._clock = clock
@@ -144,7 +144,7 @@
     def _interval(self, name: str, leader: str | None) -> timedelta:
         """Return the interval between heartbeats to an instance."""
         if leader == self._own or self._reads_itself():
-            return READER_BEATS
+            return READER_INTERVAL
         if name == leader or self._hubs.is_hub(self._own):
             return HUB_INTERVAL
         same_zone = self._peers.by_name[name].zone == self._zone
--- a/packages/ashhoist/src/ashhoist/control/hubs.py
+++ b/packages/ashhoist/src/ashhoist/control/hubs.py
@@ -108,7 +108,7 @@
             if peer.address
         ]
 
-    def surplus(self) -> list[str]:
+    def surplus_links(self) -> list[str]:
         """Return the linked instances whose links are no longer needed.
 
         Two instances that are not hubs need no link. A young link is kept, because the
@@ -170,7 +170,7 @@
             if peer.linked and peer.zone == self._own.zone
         ]
 
-    def others_to_tell(self, teller: str) -> list[str]:
+    def members_except(self, teller: str) -> list[str]:
         """Return the members to which this hub forwards a message of `teller`."""
         return [name for name in self.members() if name != teller]
 
--- a/packages/ashhoist/src/ashhoist/control/lease_calls.py
+++ b/packages/ashhoist/src/ashhoist/control/lease_calls.py
@@ -24,7 +24,7 @@
     Unknown,
 )
 from . import messages
-from .outside import Outside
+from .effects import Effects
 from .peers import Peers
 
 DELEGATED_CALL_TIMEOUT = timedelta(milliseconds=450)
@@ -61,7 +61,7 @@
         zone: str,
         lease: Lease,
         peers: Peers,
-        outside: Outside,
+        effects: Effects,
         done: Callable[[], None],
         clock: Clock,
         log: Logger,
@@ -69,7 +69,7 @@
         self._zone = zone
         self._lease = lease
         self._peers = peers
-        self._outside = outside
+        self._outside = effects
         self._done = done
         self._clock = clock
         self._log = log
@@ -114,10 +114,10 @@
         self._delegated = _DelegatedCall(
             number, action, peer, now + DELEGATED_CALL_TIMEOUT
         )
-        message: Any = messages.ReadClaimsFor(self._zone, number)
+        message: Any = messages.ClaimsReadRequest(self._zone, number)
         if isinstance(action, AppendClaim):
             value = action.claim.encode()
-            message = messages.AppendClaimFor(self._zone, number, value, action.at)
+            message = messages.ClaimAppendRequest(self._zone, number, value, action.at)
         self._log.info(
             "lease call through a peer",
             zone=self._zone,
@@ -150,7 +150,7 @@
 
     # Results of calls through another instance
 
-    def claims_read(self, peer: str, message: messages.ClaimsRead) -> None:
+    def claims_read(self, peer: str, message: messages.ClaimsReadResponse) -> None:
         """Handle the newest claims, read by another instance for this one."""
         call = self._pop_delegated(peer, message.number)
         if call is None:
@@ -164,7 +164,7 @@
         )
         self._pass_read(Newest(records, Position(message.end)))
 
-    def claim_appended(self, peer: str, message: messages.ClaimAppended) -> None:
+    def claim_appended(self, peer: str, message: messages.ClaimAppendResponse) -> None:
         """Handle the result of an append by another instance for this one."""
         call = self._pop_delegated(peer, message.number)
         if call is None or not isinstance(call.action, AppendClaim):
@@ -182,7 +182,7 @@
         return call
 
     def _pass_read(self, result: Newest | Unavailable) -> None:
-        self._lease.read(result)
+        self._lease.claims_read(result)
         self._done()
 
     def _pass_appended(self, action: AppendClaim, result: AppendResult) -> None:
@@ -191,29 +191,29 @@
 
 
 def read_answer(
-    request: messages.ReadClaimsFor, result: Newest | Unavailable
-) -> messages.ClaimsRead:
+    request: messages.ClaimsReadRequest, result: Newest | Unavailable
+) -> messages.ClaimsReadResponse:
     """Return the message with the claims that were read for another instance."""
     if isinstance(result, Unavailable):
-        return messages.ClaimsRead(request.zone, request.number, -1, [])
+        return messages.ClaimsReadResponse(request.zone, request.number, -1, [])
     rows = [[record.offset, record.key, record.value] for record in result.records]
-    return messages.ClaimsRead(request.zone, request.number, result.end, rows)
+    return messages.ClaimsReadResponse(request.zone, request.number, result.end, rows)
 
 
 def append_answer(
-    request: messages.AppendClaimFor, result: AppendResult
-) -> messages.ClaimAppended:
+    request: messages.ClaimAppendRequest, result: AppendResult
+) -> messages.ClaimAppendResponse:
     """Return the message with the result of an append for another instance."""
     zone, number = request.zone, request.number
     if isinstance(result, Appended):
-        return messages.ClaimAppended(zone, number, APPENDED, result.offset)
+        return messages.ClaimAppendResponse(zone, number, APPENDED, result.offset)
     if isinstance(result, ConditionFailed):
-        return messages.ClaimAppended(zone, number, CONDITION, result.end)
+        return messages.ClaimAppendResponse(zone, number, CONDITION, result.end)
     kind = UNAVAILABLE if isinstance(result, Unavailable) else UNKNOWN
-    return messages.ClaimAppended(zone, number, kind, 0)
+    return messages.ClaimAppendResponse(zone, number, kind, 0)
 
 
-def _result(message: messages.ClaimAppended) -> AppendResult:
+def _result(message: messages.ClaimAppendResponse) -> AppendResult:
     if message.result == APPENDED:
         return Appended(Position(message.value))
     if message.result == CONDITION:
--- a/packages/ashhoist/src/ashhoist/control/release.py
+++ b/packages/ashhoist/src/ashhoist/control/lease_handover.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 from ..clock import Clock
-from .order_desk import OrderRouter
 from .order_leases import OrderLeases
+from .order_router import OrderRouter
 
 LAST_ORDERS_TIMEOUT = timedelta(milliseconds=600)
 """How long a planned stop waits for answers to its last orders."""
@@ -17,8 +17,10 @@
     this instance is still in transit.
     """
 
-    def __init__(self, desk: OrderRouter, leases: OrderLeases, clock: Clock) -> None:
-        self._desk = desk
+    def __init__(
+        self, order_router: OrderRouter, leases: OrderLeases, clock: Clock
+    ) -> None:
+        self._desk = order_router
         self._leases = leases
         self._clock = clock
         self._deadline: timedelta | None = None
--- a/packages/ashhoist/src/ashhoist/control/limit_notices.py
+++ b/packages/ashhoist/src/ashhoist/control/limit_notices.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock
 from ..logs import Logger
-from ..upstreams import NamedLimit, RateLimits
+from ..upstreams import RateLimits, StatedLimit
 from . import messages
 from .hubs import Hubs
 from .peers import Peers
@@ -46,27 +46,27 @@
         self._clock = clock
         self._log = log
 
-    def noticed(self, named: NamedLimit) -> None:
+    def noticed(self, named: StatedLimit) -> None:
         """Handle a limit named in an upstream's answer to this instance."""
-        self._tell_all(self._peers.linked(), self._apply([named], "answer"))
+        self._notify(self._peers.linked(), self._apply([named], "answer"))
 
-    def told(self, peer: str, message: messages.LimitsNamed) -> None:
+    def notices_received(self, peer: str, message: messages.RateLimitNotice) -> None:
         """Handle another instance's limits; a hub relays new ones to its members."""
         now = self._clock.monotonic()
         new_limits = self._apply([_decode(row, now) for row in message.rows], peer)
-        self._tell_all(self._hubs.others_to_tell(peer), new_limits)
+        self._notify(self._hubs.members_except(peer), new_limits)
 
     def greet(self, peer: str) -> None:
         """Send a newly linked instance all known limits."""
-        self._tell_all([peer], self._limits.all())
+        self._notify([peer], self._limits.all())
 
-    def _apply(self, limits: list[NamedLimit], source: str) -> list[NamedLimit]:
+    def _apply(self, limits: list[StatedLimit], source: str) -> list[StatedLimit]:
         """Apply limits; return those that were new."""
         new_limits = [named for named in limits if self._limits.take(named)]
         for named in new_limits:
             self._log.info(
                 "upstream limit changed",
-                life=named.life,
+                life=named.incarnation,
                 per_second=named.per_second,
                 source=source,
             )
@@ -74,26 +74,26 @@
             self._changed()
         return new_limits
 
-    def _tell_all(self, receivers: list[str], limits: list[NamedLimit]) -> None:
+    def _notify(self, receivers: list[str], limits: list[StatedLimit]) -> None:
         if not limits or not receivers:
             return
         now = self._clock.monotonic()
-        message = messages.LimitsNamed([_encode(named, now) for named in limits])
+        message = messages.RateLimitNotice([_encode(named, now) for named in limits])
         for receiver in receivers:
             self._send(receiver, message)
 
 
-def _encode(named: NamedLimit, now: timedelta) -> list[object]:
-    asked_ago, heard_ago = now - named.asked_at, now - named.heard_at
+def _encode(named: StatedLimit, now: timedelta) -> list[object]:
+    asked_ago, heard_ago = now - named.asked_at, now - named.answered_at
     return [
-        named.life,
+        named.incarnation,
         named.per_second,
         asked_ago // MICROSECOND,
         heard_ago // MICROSECOND,
     ]
 
 
-def _decode(row: list[Any], now: timedelta) -> NamedLimit:
+def _decode(row: list[Any], now: timedelta) -> StatedLimit:
     life, per_second, asked_us, heard_us = row
-    asked_at, heard_at = now - asked_us * MICROSECOND, now - heard_us * MICROSECOND
-    return NamedLimit(life, per_second, asked_at, heard_at)
+    asked_at, answered_at = now - asked_us * MICROSECOND, now - heard_us * MICROSECOND
+    return StatedLimit(life, per_second, asked_at, answered_at)
--- a/packages/ashhoist/src/ashhoist/control/lookups.py
+++ b/packages/ashhoist/src/ashhoist/control/lookups.py
@@ -10,10 +10,10 @@
 
 from ..adapter import Adapter
 from ..placement import Residency
-from ..placement.asks import Lookup
-from ..placement.residency import Place
+from ..placement.messages import Lookup
+from ..placement.residency import AdapterLocation
 from .hubs import Hubs
-from .messages import Locate, Located
+from .messages import AdapterLocationRequest, AdapterLocations
 
 MAX_PENDING = 1024
 """Pending lookups; beyond that the oldest is answered as not found."""
@@ -55,25 +55,28 @@
         if len(self._pending) > MAX_PENDING:
             _answer(self._pending.pop(next(iter(self._pending))), ())
         self._send(
-            hub, Locate(self._last_number, lookup.adapter.model, lookup.adapter.name)
+            hub,
+            AdapterLocationRequest(
+                self._last_number, lookup.adapter.model, lookup.adapter.name
+            ),
         )
 
-    def asked(self, instance: str, locate: Locate) -> None:
+    def asked(self, instance: str, locate: AdapterLocationRequest) -> None:
         """Answer a lookup of another instance."""
         places = self._places(Adapter(locate.model, locate.name))
         rows = [[place.upstream, place.version] for place in places]
-        self._send(instance, Located(locate.number, rows))
+        self._send(instance, AdapterLocations(locate.number, rows))
 
-    def answered(self, located: Located) -> None:
+    def answered(self, located: AdapterLocations) -> None:
         """Handle a hub's answer."""
         lookup = self._pending.pop(located.number, None)
         if lookup is not None:
-            _answer(lookup, tuple(Place(*row) for row in located.rows))
+            _answer(lookup, tuple(AdapterLocation(*row) for row in located.rows))
 
-    def _places(self, adapter: Adapter) -> tuple[Place, ...]:
+    def _places(self, adapter: Adapter) -> tuple[AdapterLocation, ...]:
         return self._residency.view.get(adapter, ())
 
 
-def _answer(lookup: Lookup, places: tuple[Place, ...]) -> None:
+def _answer(lookup: Lookup, places: tuple[AdapterLocation, ...]) -> None:
     if lookup.answer.set_running_or_notify_cancel():
         lookup.answer.set_result(places)
--- a/packages/ashhoist/src/ashhoist/control/membership.py
+++ b/packages/ashhoist/src/ashhoist/control/membership.py
@@ -9,8 +9,8 @@
 from ..clock import ZERO, Clock
 from ..types import Endpoint
 from . import messages
+from .effects import Effects
 from .hubs import Hubs, Identity
-from .outside import Outside
 from .peers import InstanceRecord, Peers
 
 REGISTER_INTERVAL = timedelta(seconds=2)
@@ -35,14 +35,14 @@
         seeds: tuple[str, ...],
         peers: Peers,
         hubs: Hubs,
-        outside: Outside,
+        effects: Effects,
         clock: Clock,
     ) -> None:
         self._own = own
         self._seeds = seeds
         self._peers = peers
         self._hubs = hubs
-        self._outside = outside
+        self._outside = effects
         self._clock = clock
         self._next_registration_at = ZERO
         self._registered_at = ZERO
--- a/packages/ashhoist/src/ashhoist/control/inbox.py
+++ b/packages/ashhoist/src/ashhoist/control/message_handlers.py
@@ -54,9 +54,9 @@
     core.membership.send_instance_list(peer)
 
 
-@_handles(messages.Beat)
-def _on_beat(core: "Core", peer: str, beat: messages.Beat) -> None:
-    core.beaten(peer, beat)
+@_handles(messages.Heartbeat)
+def _on_beat(core: "Core", peer: str, heartbeat: messages.Heartbeat) -> None:
+    core.handle_heartbeat(peer, heartbeat)
 
 
 # Records of the log
@@ -78,28 +78,30 @@
     core.proofs.configuration_updated(core.leader)
 
 
-@_handles(messages.AskProof)
-def _on_ask_proof(core: "Core", peer: str, message: messages.AskProof) -> None:
-    core.share_left(peer, message.leaves_since)
+@_handles(messages.ProofRequest)
+def _on_ask_proof(core: "Core", peer: str, message: messages.ProofRequest) -> None:
+    core.share_delegated(peer, message.delegated_since)
     core.proofs.handle_request(peer, message)
 
 
-@_handles(messages.Proven)
-def _on_proven(core: "Core", peer: str, message: messages.Proven) -> None:
+@_handles(messages.ProofResponse)
+def _on_proven(core: "Core", peer: str, message: messages.ProofResponse) -> None:
     core.proofs.handle_response(peer, message)
 
 
 # Adapters at engines
 
 
-@_handles(messages.Holds)
-def _on_holds(core: "Core", peer: str, holds: messages.Holds) -> None:
+@_handles(messages.EngineAdapters)
+def _on_holds(core: "Core", peer: str, holds: messages.EngineAdapters) -> None:
     held = {Adapter(model, name): int(v) for model, name, v in holds.adapters}
     core.residency.put(holds.epoch, holds.upstream, held)
 
 
-@_handles(messages.HoldsChanged)
-def _on_holds_changed(core: "Core", peer: str, change: messages.HoldsChanged) -> None:
+@_handles(messages.EngineAdaptersChanged)
+def _on_holds_changed(
+    core: "Core", peer: str, change: messages.EngineAdaptersChanged
+) -> None:
     for upstream, served, gone in change.rows:
         core.residency.change(
             change.epoch,
@@ -109,43 +111,47 @@
         )
 
 
-@_handles(messages.Locate)
-def _on_locate(core: "Core", peer: str, locate: messages.Locate) -> None:
+@_handles(messages.AdapterLocationRequest)
+def _on_locate(
+    core: "Core", peer: str, locate: messages.AdapterLocationRequest
+) -> None:
     core.lookups.asked(peer, locate)
 
 
-@_handles(messages.Located)
-def _on_located(core: "Core", peer: str, located: messages.Located) -> None:
+@_handles(messages.AdapterLocations)
+def _on_located(core: "Core", peer: str, located: messages.AdapterLocations) -> None:
     core.lookups.answered(located)
 
 
 # Leases and orders
 
 
-@_handles(messages.ReadClaimsFor, messages.AppendClaimFor)
+@_handles(messages.ClaimsReadRequest, messages.ClaimAppendRequest)
 def _on_lease_call(core: "Core", peer: str, message: Any) -> None:
-    core.outside.lease_call_for(peer, message)
+    core.effects.lease_call_for(peer, message)
 
 
-@_handles(messages.ClaimsRead)
-def _on_claims_read(core: "Core", peer: str, message: messages.ClaimsRead) -> None:
+@_handles(messages.ClaimsReadResponse)
+def _on_claims_read(
+    core: "Core", peer: str, message: messages.ClaimsReadResponse
+) -> None:
     core.leases.claims_read(peer, message)
 
 
-@_handles(messages.ClaimAppended)
+@_handles(messages.ClaimAppendResponse)
 def _on_claim_appended(
-    core: "Core", peer: str, message: messages.ClaimAppended
+    core: "Core", peer: str, message: messages.ClaimAppendResponse
 ) -> None:
     core.leases.claim_appended(peer, message)
 
 
-@_handles(messages.Carry)
-def _on_carry(core: "Core", peer: str, message: messages.Carry) -> None:
-    core.desk.carry(peer, message)
+@_handles(messages.OrderForward)
+def _on_carry(core: "Core", peer: str, message: messages.OrderForward) -> None:
+    core.order_router.forward(peer, message)
 
 
-@_handles(messages.Carried)
-def _on_carried(core: "Core", peer: str, message: messages.Carried) -> None:
+@_handles(messages.OrderForwardResult)
+def _on_carried(core: "Core", peer: str, message: messages.OrderForwardResult) -> None:
     answer = OrderAnswer(message.answer)
     core.scheduling.answered(message.upstream, message.number, answer)
 
@@ -153,65 +159,69 @@
 # Requests that wait for adapters
 
 
-@_handles(messages.Ask)
-def _on_ask(core: "Core", peer: str, ask: messages.Ask) -> None:
+@_handles(messages.PlacementQuery)
+def _on_ask(core: "Core", peer: str, ask: messages.PlacementQuery) -> None:
     core.asked(peer, ask)
 
 
-@_handles(messages.Withdraw)
-def _on_withdraw(core: "Core", peer: str, message: messages.Withdraw) -> None:
+@_handles(messages.PlacementQueryCancel)
+def _on_withdraw(
+    core: "Core", peer: str, message: messages.PlacementQueryCancel
+) -> None:
     core.scheduling.withdrawn(message.id)
 
 
-@_handles(messages.Uses)
-def _on_uses(core: "Core", peer: str, uses: messages.Uses) -> None:
+@_handles(messages.EngineUses)
+def _on_uses(core: "Core", peer: str, uses: messages.EngineUses) -> None:
     core.scheduling.used(peer, uses)
 
 
-@_handles(messages.Granted)
-def _on_granted(core: "Core", peer: str, granted: messages.Granted) -> None:
-    core.agent.handle_granted(granted)
+@_handles(messages.PlacementGranted)
+def _on_granted(core: "Core", peer: str, granted: messages.PlacementGranted) -> None:
+    core.placement_client.handle_granted(granted)
 
 
-@_handles(messages.Waits)
-def _on_waits(core: "Core", peer: str, message: messages.Waits) -> None:
-    core.agent.handle_queued(message)
+@_handles(messages.PlacementQueued)
+def _on_waits(core: "Core", peer: str, message: messages.PlacementQueued) -> None:
+    core.placement_client.handle_queued(message)
 
 
-@_handles(messages.Declined)
-def _on_declined(core: "Core", peer: str, declined: messages.Declined) -> None:
-    core.agent.handle_declined(declined)
+@_handles(messages.PlacementDeclined)
+def _on_declined(core: "Core", peer: str, declined: messages.PlacementDeclined) -> None:
+    core.placement_client.handle_declined(declined)
 
 
 # Departing upstreams
 
 
-@_handles(messages.Leaving)
-def _on_leaving(core: "Core", peer: str, message: messages.Leaving) -> None:
-    core.departures.told(peer, message)
+@_handles(messages.DepartureNotice)
+def _on_leaving(core: "Core", peer: str, message: messages.DepartureNotice) -> None:
+    core.departure_notices.notices_received(peer, message)
 
 
 # Rate limits of upstreams
 
 
-@_handles(messages.LimitsNamed)
-def _on_limits_named(core: "Core", peer: str, message: messages.LimitsNamed) -> None:
-    core.limit_notices.told(peer, message)
+@_handles(messages.RateLimitNotice)
+def _on_limits_named(
+    core: "Core", peer: str, message: messages.RateLimitNotice
+) -> None:
+    core.limit_notices.notices_received(peer, message)
 
 
-@_handles(messages.LeaveShare)
-def _on_leave_share(core: "Core", peer: str, message: messages.LeaveShare) -> None:
-    core.share_left(peer, message.since)
+@_handles(messages.ShareDelegation)
+def _on_leave_share(core: "Core", peer: str, message: messages.ShareDelegation) -> None:
+    core.share_delegated(peer, message.since)
 
 
-@_handles(messages.AskPermit)
-def _on_ask_permit(core: "Core", peer: str, message: messages.AskPermit) -> None:
+@_handles(messages.PermitQuery)
+def _on_ask_permit(core: "Core", peer: str, message: messages.PermitQuery) -> None:
     core.permits.asked(peer, message)
 
 
-@_handles(messages.PermitAnswered)
+@_handles(messages.PermitResponse)
 def _on_permit_answered(
-    core: "Core", peer: str, message: messages.PermitAnswered
+    core: "Core", peer: str, message: messages.PermitResponse
 ) -> None:
     core.permits.answered(message)
 
@@ -219,26 +229,28 @@
 # Requests that crash upstreams
 
 
-@_handles(messages.WriteCrash)
-def _on_write_crash(core: "Core", peer: str, message: messages.WriteCrash) -> None:
+@_handles(messages.CrashWriteRequest)
+def _on_write_crash(
+    core: "Core", peer: str, message: messages.CrashWriteRequest
+) -> None:
     core.crashes.write_for(message)
 
 
-@_handles(messages.CrashesSeen)
-def _on_crashes_seen(core: "Core", peer: str, message: messages.CrashesSeen) -> None:
-    core.crash_notices.told(peer, message)
+@_handles(messages.CrashNotice)
+def _on_crashes_seen(core: "Core", peer: str, message: messages.CrashNotice) -> None:
+    core.crash_notices.notices_received(peer, message)
 
 
 # Customer quotas
 
 
-@_handles(messages.DrawTokens)
-def _on_draw_tokens(core: "Core", peer: str, draw: messages.DrawTokens) -> None:
+@_handles(messages.TokenRequest)
+def _on_draw_tokens(core: "Core", peer: str, draw: messages.TokenRequest) -> None:
     core.quotas.asked(peer, draw)
 
 
-@_handles(messages.TokensDrawn)
-def _on_tokens_drawn(core: "Core", peer: str, drawn: messages.TokensDrawn) -> None:
+@_handles(messages.TokenGrant)
+def _on_tokens_drawn(core: "Core", peer: str, drawn: messages.TokenGrant) -> None:
     core.quotas.drawn(drawn)
 
 
--- a/packages/ashhoist/src/ashhoist/control/messages/membership.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/membership.py
@@ -47,12 +47,12 @@
 
 @message(41)
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Heartbeat with the sender's replication progress.
 
     Parameters
     ----------
-    reads_for_ms : int
+    reader_for_ms : int
         Milliseconds from now for which the sender still counts as a reader of the
         log; 0 if it does not read the log or an answer of the log is overdue.
     configuration : int
@@ -66,7 +66,7 @@
     claims : list
         Newest lease claims known to the sender, each as the list
         ``[key, holder, life, fence, offset, released, before]``.
-    every_ms : int
+    next_heartbeat_ms : int
         Milliseconds until the sender's next heartbeat.
     instances : int
         Number of other instances known to the sender.
@@ -84,7 +84,7 @@
     configuration: int
     offsets: dict
     claims: list
-    every_ms: int
+    next_heartbeat_ms: int
     instances: int
     sent_at: int
     tight: list
--- a/packages/ashhoist/src/ashhoist/control/messages/notices.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/notices.py
@@ -7,7 +7,7 @@
 
 @message(71)
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class DepartureNotice:
     """Upstreams that have announced in a response that they are leaving.
 
     Parameters
@@ -21,7 +21,7 @@
 
 @message(70)
 @dataclass(frozen=True, slots=True)
-class WriteCrash:
+class CrashWriteRequest:
     """Ask the receiver to write a record of requests that a crash cut off.
 
     Sent when the log has rejected the sender. Writing the record twice is harmless.
@@ -33,7 +33,7 @@
 
 @message(72)
 @dataclass(frozen=True, slots=True)
-class CrashesSeen:
+class CrashNotice:
     """Requests cut off by crashes, which may not be on the log yet.
 
     Parameters
--- a/packages/ashhoist/src/ashhoist/control/messages/orders.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/orders.py
@@ -7,7 +7,7 @@
 
 @message(51)
 @dataclass(frozen=True, slots=True)
-class ReadClaimsFor:
+class ClaimsReadRequest:
     """Ask to read a zone's newest claims for a sender that the log rejects."""
 
     zone: str
@@ -16,7 +16,7 @@
 
 @message(52)
 @dataclass(frozen=True, slots=True)
-class AppendClaimFor:
+class ClaimAppendRequest:
     """Ask to append a claim if the end of its partition is still at `at`."""
 
     zone: str
@@ -27,7 +27,7 @@
 
 @message(53)
 @dataclass(frozen=True, slots=True)
-class ClaimsRead:
+class ClaimsReadResponse:
     """Response to `ClaimsReadRequest`.
 
     Parameters
@@ -46,7 +46,7 @@
 
 @message(54)
 @dataclass(frozen=True, slots=True)
-class ClaimAppended:
+class ClaimAppendResponse:
     """Response to `ClaimAppendRequest`.
 
     Parameters
@@ -65,7 +65,7 @@
 
 @message(57)
 @dataclass(frozen=True, slots=True)
-class Carry:
+class OrderForward:
     """Forward an order to the holder of the lease for the engine's zone.
 
     Parameters
@@ -91,7 +91,7 @@
 
 @message(58)
 @dataclass(frozen=True, slots=True)
-class Carried:
+class OrderForwardResult:
     """Result of an order that the receiver had forwarded to the sender."""
 
     number: int
--- a/packages/ashhoist/src/ashhoist/control/messages/rates.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/rates.py
@@ -7,7 +7,7 @@
 
 @message(67)
 @dataclass(frozen=True, slots=True)
-class DrawTokens:
+class TokenRequest:
     """Request tokens from a customer's quota.
 
     Parameters
@@ -26,7 +26,7 @@
 
 @message(68)
 @dataclass(frozen=True, slots=True)
-class TokensDrawn:
+class TokenGrant:
     """Response to `TokenRequest`: tokens that the receiver may spend.
 
     Parameters
@@ -56,7 +56,7 @@
 
 @message(73)
 @dataclass(frozen=True, slots=True)
-class LimitsNamed:
+class RateLimitNotice:
     """Rate limits that upstreams have declared in their responses.
 
     Parameters
@@ -72,13 +72,13 @@
 
 @message(74)
 @dataclass(frozen=True, slots=True)
-class LeaveShare:
+class ShareDelegation:
     """The sender cedes its share of all limits to the receiver, the leader.
 
     Parameters
     ----------
     since : int
-        Same as `ProofRequest.leaves_since`.
+        Same as `ProofRequest.delegated_since`.
     """
 
     since: int
@@ -86,7 +86,7 @@
 
 @message(75)
 @dataclass(frozen=True, slots=True)
-class AskPermit:
+class PermitQuery:
     """Request permission for one send to an upstream that has declared a rate limit.
 
     Parameters
@@ -101,7 +101,7 @@
 
 @message(76)
 @dataclass(frozen=True, slots=True)
-class PermitAnswered:
+class PermitResponse:
     """Response to `PermitRequest`.
 
     Parameters
--- a/packages/ashhoist/src/ashhoist/control/messages/records.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/records.py
@@ -34,7 +34,7 @@
         The message has all effective records with offsets after `after` and up to
         `up_to`; a receiver that has not seen `after` has a gap before them.
     records : bytes
-        Records encoded by `relays.pack`.
+        Records encoded by `record_codec.pack`.
     compressed : bool
         Whether `records` is compressed.
     """
@@ -48,7 +48,7 @@
 
 @message(65)
 @dataclass(frozen=True, slots=True)
-class AskProof:
+class ProofRequest:
     """Ask when the receiver's copy of the configuration was last known to be current.
 
     Sent to the leader, the message also cedes the sender's share of all quotas to it.
@@ -57,18 +57,18 @@
     ----------
     asked_at : int
         The sender's monotonic clock, in microseconds; repeated in the response.
-    leaves_since : int
+    delegated_since : int
         The newest `Heartbeat.sent_at` of the receiver as of which the sender cedes its
         share to it; -1 if it does not.
     """
 
     asked_at: int
-    leaves_since: int
+    delegated_since: int
 
 
 @message(66)
 @dataclass(frozen=True, slots=True)
-class Proven:
+class ProofResponse:
     """Response to `ProofRequest`: the age of the proof that the sender is current.
 
     Parameters
--- a/packages/ashhoist/src/ashhoist/control/messages/requests.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/requests.py
@@ -7,7 +7,7 @@
 
 @message(46)
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PlacementQuery:
     """Ask the leader to place a request that needs an adapter.
 
     Parameters
@@ -32,13 +32,13 @@
     left_ms: int
     give_up_left_ms: int
     zone: str
-    may_return: bool
+    may_retry: bool
     tried: list
 
 
 @message(47)
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class PlacementQueryCancel:
     """Cancel a `PlacementRequest`: the request no longer waits."""
 
     id: str
@@ -46,7 +46,7 @@
 
 @message(48)
 @dataclass(frozen=True, slots=True)
-class Granted:
+class PlacementGranted:
     """The leader has chosen an engine that serves the request's adapter.
 
     Parameters
@@ -66,7 +66,7 @@
 
 @message(49)
 @dataclass(frozen=True, slots=True)
-class Declined:
+class PlacementDeclined:
     """The request can't get its adapter in time."""
 
     id: str
@@ -76,7 +76,7 @@
 
 @message(50)
 @dataclass(frozen=True, slots=True)
-class Uses:
+class EngineUses:
     """Changes in the sender's use of engines, in the order in which they occurred.
 
     Parameters
@@ -87,7 +87,7 @@
     started : list
         Lists of id and upstream, of requests that have received their first event.
     ended : list
-        Lists of id, upstream and outcome (`UseEnd`).
+        Lists of id, upstream and outcome (`RequestOutcome`).
     """
 
     began: list
@@ -97,7 +97,7 @@
 
 @message(55)
 @dataclass(frozen=True, slots=True)
-class Waits:
+class PlacementQueued:
     """The leader has queued the request until its adapter is available."""
 
     id: str
--- a/packages/ashhoist/src/ashhoist/control/messages/residency.py
+++ b/packages/ashhoist/src/ashhoist/control/messages/residency.py
@@ -7,7 +7,7 @@
 
 @message(45)
 @dataclass(frozen=True, slots=True)
-class Holds:
+class EngineAdapters:
     """All adapters that an engine serves, as ``[model, name, version]`` lists."""
 
     epoch: int
@@ -17,7 +17,7 @@
 
 @message(62)
 @dataclass(frozen=True, slots=True)
-class HoldsChanged:
+class EngineAdaptersChanged:
     """Changes since the last message, for a receiver that has the full state.
 
     Parameters
@@ -33,7 +33,7 @@
 
 @message(63)
 @dataclass(frozen=True, slots=True)
-class Locate:
+class AdapterLocationRequest:
     """Ask a hub which engines serve an adapter, when the leader does not answer.
 
     Parameters
@@ -49,7 +49,7 @@
 
 @message(64)
 @dataclass(frozen=True, slots=True)
-class Located:
+class AdapterLocations:
     """Engines that serve an adapter, as known to the sender.
 
     Parameters
--- a/packages/ashhoist/src/ashhoist/control/order_leases.py
+++ b/packages/ashhoist/src/ashhoist/control/order_leases.py
@@ -14,9 +14,9 @@
 from ..orders import AppendClaim, Claim, Lease, LeaseTiming
 from ..store import AppendResult, Newest, Unavailable
 from . import messages
+from .effects import Effects
 from .hubs import Hubs, Identity
 from .lease_calls import LeaseCalls
-from .outside import Outside
 from .peers import Peers, rank
 
 OTHER_ZONE_RANK = 10
@@ -44,7 +44,7 @@
     ----------
     holder : str
         Identifies this machine in claims.
-    life : str
+    incarnation : str
         Identifies this process.
     is_alone : callable
         Returns whether it is certain that there is no other instance.
@@ -54,22 +54,22 @@
         self,
         own: Identity,
         holder: str,
-        life: str,
+        incarnation: str,
         timing: LeaseTiming,
         peers: Peers,
         hubs: Hubs,
-        outside: Outside,
+        effects: Effects,
         is_alone: Callable[[], bool],
         clock: Clock,
         log: Logger,
     ) -> None:
         self._own = own
         self._holder = holder
-        self._life = life
+        self._life = incarnation
         self._timing = timing
         self._peers = peers
         self._hubs = hubs
-        self._outside = outside
+        self._outside = effects
         self._is_alone = is_alone
         self._clock = clock
         self._log = log
@@ -123,7 +123,7 @@
     def claim_received(self, claim: Claim) -> None:
         """Handle a claim that another instance has sent."""
         self.track_zones({claim.key})
-        self._leases[claim.key].heard(claim)
+        self._leases[claim.key].receive_claim(claim)
         self._log_changes()
 
     # Store calls and engine answers
@@ -146,7 +146,7 @@
         lease = self._leases.get(zone)
         if lease is not None:
             self._log.info("lease token refused", zone=zone, token=token)
-            lease.refused(token)
+            lease.reject_token(token)
 
     def _set_ranks(self) -> None:
         if self._ranked_for == (self._peers.revision, len(self._leases)):
@@ -182,13 +182,13 @@
         """Handle the result of an append by this instance."""
         self._calls[action.claim.key].appended(action, result)
 
-    def claims_read(self, peer: str, message: messages.ClaimsRead) -> None:
+    def claims_read(self, peer: str, message: messages.ClaimsReadResponse) -> None:
         """Handle the newest claims, read by another instance for this one."""
         calls = self._calls.get(message.zone)
         if calls is not None:
             calls.claims_read(peer, message)
 
-    def claim_appended(self, peer: str, message: messages.ClaimAppended) -> None:
+    def claim_appended(self, peer: str, message: messages.ClaimAppendResponse) -> None:
         """Handle the result of an append by another instance for this one."""
         calls = self._calls.get(message.zone)
         if calls is not None:
@@ -204,7 +204,7 @@
                 zone=zone,
                 token=claim.token,
                 offset=claim.offset,
-                before=claim.before,
+                before=claim.previous_holders,
             )
         for zone in sorted(self._held - held):
             self._log.info("lease no longer held", zone=zone)
@@ -215,7 +215,7 @@
     def stop_orders(self) -> None:
         """Stop permitting orders, but keep the leases."""
         for lease in self._leases.values():
-            lease.rest()
+            lease.stop_orders()
 
     def stop(self) -> None:
         """Release all leases and stop claiming any."""
--- a/packages/ashhoist/src/ashhoist/control/order_desk.py
+++ b/packages/ashhoist/src/ashhoist/control/order_router.py
@@ -11,8 +11,8 @@
 from ..logs import Logger
 from ..orders import Order, OrderAnswer, OrderKind
 from . import messages
+from .effects import Effects
 from .order_leases import OrderLeases
-from .outside import Outside
 from .peers import Peers
 
 
@@ -31,7 +31,7 @@
         holder: str,
         leases: OrderLeases,
         peers: Peers,
-        outside: Outside,
+        effects: Effects,
         clock: Clock,
         log: Logger,
     ) -> None:
@@ -39,7 +39,7 @@
         self._holder = holder
         self._leases = leases
         self._peers = peers
-        self._outside = outside
+        self._outside = effects
         self._clock = clock
         self._log = log
         self._in_progress = 0
@@ -52,7 +52,7 @@
         if holder == self._own:
             return self._leases.fence(zone) is not None
         peer = self._peers.by_name.get(holder)
-        return peer is not None and peer.is_fresh(self._clock.monotonic())
+        return peer is not None and peer.is_recent(self._clock.monotonic())
 
     def may_send(self, order: Order) -> bool:
         """Return whether an order's fence is valid; called right before it is sent."""
@@ -71,7 +71,7 @@
             return self._send_to_engine(replace(order, origin=self._own))
         if holder is None:
             return OrderAnswer.NOT_SENT
-        forwarded = messages.Carry(
+        forwarded = messages.OrderForward(
             order.number,
             order.upstream,
             order.address,
@@ -114,7 +114,7 @@
             answer=answer,
         )
 
-    def carry(self, peer: str, message: messages.Carry) -> None:
+    def forward(self, peer: str, message: messages.OrderForward) -> None:
         """Forward an order of another instance to the engine."""
         order = Order(
             message.upstream,
@@ -133,5 +133,5 @@
 
     def answered(self, order: Order, answer: OrderAnswer) -> None:
         """Send the outcome of a forwarded order to the instance that issued it."""
-        outcome = messages.Carried(order.number, order.upstream, answer)
+        outcome = messages.OrderForwardResult(order.number, order.upstream, answer)
         self._outside.send_to(order.origin, outcome)
--- a/packages/ashhoist/src/ashhoist/control/peers.py
+++ b/packages/ashhoist/src/ashhoist/control/peers.py
@@ -8,7 +8,7 @@
 import cbor2
 
 from ..store import Record
-from .messages import Beat
+from .messages import Heartbeat
 
 SILENT_AFTER = timedelta(seconds=3)
 """Minimum time without a sign of life after which a link is dropped."""
@@ -44,34 +44,36 @@
     heard_at: timedelta | None = None
     linked_at: timedelta = timedelta()
     unlinked_since: timedelta | None = None
-    beat: Beat | None = None
+    heartbeat: Heartbeat | None = None
     heartbeat_at: timedelta = timedelta()
     """When the last heartbeat arrived; `heard_at` may be later."""
 
     @property
     def stops(self) -> bool:
         """Return whether its last heartbeat says that it is stopping."""
-        return self.beat is not None and self.beat.stopping
+        return self.heartbeat is not None and self.heartbeat.stopping
 
     @property
     def leads(self) -> bool:
         """Return whether its last heartbeat says that it is the leader."""
-        return self.beat is not None and self.beat.leads
+        return self.heartbeat is not None and self.heartbeat.leads
 
     def is_silent(self, now: timedelta) -> bool:
         """Return whether it is linked but has not been heard of for too long."""
         if not self.linked or self.heard_at is None:
             return False
         silent_after = SILENT_AFTER
-        if self.beat is not None:
-            silent_after = max(silent_after, self.beat.every_ms * OVERDUE_PER_MS)
+        if self.heartbeat is not None:
+            silent_after = max(
+                silent_after, self.heartbeat.next_heartbeat_ms * OVERDUE_PER_MS
+            )
         return now - self.heard_at > silent_after
 
-    def is_fresh(self, now: timedelta) -> bool:
+    def is_recent(self, now: timedelta) -> bool:
         """Return whether it is linked and its next heartbeat is not overdue."""
-        if not self.linked or self.beat is None or self.heard_at is None:
+        if not self.linked or self.heartbeat is None or self.heard_at is None:
             return False
-        return now - self.heard_at <= self.beat.every_ms * OVERDUE_PER_MS
+        return now - self.heard_at <= self.heartbeat.next_heartbeat_ms * OVERDUE_PER_MS
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +139,7 @@
         peer.capacity = record.capacity
         peer.heard_at = now
 
-    def up(self, name: str, now: timedelta) -> None:
+    def link_up(self, name: str, now: timedelta) -> None:
         """Record that the link to an instance is up."""
         self.revision += 1
         peer = self.by_name.setdefault(name, Peer(name, "", ""))
@@ -146,7 +148,7 @@
         peer.heard_at = now
         peer.unlinked_since = None
 
-    def down(self, name: str, now: timedelta) -> None:
+    def link_down(self, name: str, now: timedelta) -> None:
         """Record that the link to an instance is down."""
         peer = self.by_name.get(name)
         if peer is not None:
@@ -154,15 +156,15 @@
             peer.linked = False
             peer.unlinked_since = now
 
-    def beat(self, name: str, beat: Beat, now: timedelta) -> bool:
+    def record_heartbeat(self, name: str, heartbeat: Heartbeat, now: timedelta) -> bool:
         """Record a heartbeat; return whether the instance's state has changed."""
         peer = self.by_name.get(name)
         if peer is None:
             return False
-        previous, peer.beat = peer.beat, beat
+        previous, peer.heartbeat = peer.heartbeat, heartbeat
         peer.heartbeat_at = now
         peer.heard_at = now
-        if previous is not None and _same_state(previous, beat):
+        if previous is not None and _same_state(previous, heartbeat):
             return False
         self.revision += 1
         return True
@@ -181,7 +183,7 @@
 
     def fresh(self, now: timedelta) -> list[Peer]:
         """Return the linked instances whose next heartbeat is not overdue."""
-        return [peer for peer in self.by_name.values() if peer.is_fresh(now)]
+        return [peer for peer in self.by_name.values() if peer.is_recent(now)]
 
     def linked(self) -> list[str]:
         """Return the names of the linked instances."""
@@ -193,18 +195,18 @@
             peer.name
             for peer in self.by_name.values()
             if peer.linked
-            and peer.beat is not None
-            and peer.beat.reads_log
-            and not peer.beat.stopping
+            and peer.heartbeat is not None
+            and peer.heartbeat.reads_log
+            and not peer.heartbeat.stopping
         ]
 
     def has_recent_reader(self, now: timedelta) -> bool:
         """Return whether a linked instance still counts as a reader of the log."""
         return any(
             peer.linked
-            and peer.beat is not None
+            and peer.heartbeat is not None
             and now
-            < peer.heartbeat_at + timedelta(milliseconds=peer.beat.reader_for_ms)
+            < peer.heartbeat_at + timedelta(milliseconds=peer.heartbeat.reader_for_ms)
             for peer in self.by_name.values()
         )
 
@@ -213,7 +215,7 @@
         return [peer.name for peer in self.by_name.values() if peer.is_silent(now)]
 
     def forget_lost(self, now: timedelta) -> None:
-        """Remove instances that have been unlinked for `FORGET_AFTER`."""
+        """Remove instances that have been unlinked for `REMOVE_AFTER`."""
         for peer in list(self.by_name.values()):
             if peer.linked or peer.unlinked_since is None:
                 continue
@@ -222,7 +224,7 @@
                 del self.by_name[peer.name]
 
 
-def _same_state(first: Beat, second: Beat) -> bool:
+def _same_state(first: Heartbeat, second: Heartbeat) -> bool:
     return first.stopping == second.stopping and first.leads == second.leads
 
 
--- a/packages/ashhoist/src/ashhoist/control/permits.py
+++ b/packages/ashhoist/src/ashhoist/control/permits.py
@@ -13,14 +13,14 @@
 
 from ..clock import Clock
 from ..metrics import Metrics
-from ..rates import Bucket, Shares
-from ..upstreams import NOT_GRANTED, Permit, PermitWanted, RateLimits
-from .messages import AskPermit, LeaveShare, PermitAnswered
+from ..rates import Bucket, DelegatedShares
+from ..upstreams import NOT_GRANTED, Permit, PermitRequest, RateLimits
+from .messages import PermitQuery, PermitResponse, ShareDelegation
 from .quotas import NOT_KNOWN
 
 MICROSECOND = timedelta(microseconds=1)
 MILLISECOND = timedelta(milliseconds=1)
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Requests per second that are granted even under a lower limit: only their answers can
 show that the limit has been raised or removed."""
 BURST_TIME = timedelta(milliseconds=500)
@@ -40,7 +40,7 @@
     ----------
     instances : callable
         Returns the number of instances, including this one; 0 if not known.
-    leaves_since : callable
+    delegated_since : callable
         Takes an instance; returns since when, on that instance's clock, this instance
         delegates its share to it, or -1.
     send : callable
@@ -51,25 +51,25 @@
         self,
         own: str,
         limits: RateLimits,
-        life_of: Callable[[str], str],
+        incarnation_of: Callable[[str], str],
         instances: Callable[[], int],
-        leaves_since: Callable[[str], int],
+        delegated_since: Callable[[str], int],
         send: Callable[[str, Any], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._own = own
         self._limits = limits
-        self._life_of = life_of
+        self._incarnation_of = incarnation_of
         self._instances = instances
-        self._leaves_since = leaves_since
+        self._leaves_since = delegated_since
         self._send = send
         self._clock = clock
         self._metrics = metrics
         self._leader: str | None = None
-        self._shares = Shares()
+        self._shares = DelegatedShares()
         self._bucket_by_life: dict[str, Bucket] = {}
-        self._pending: dict[int, PermitWanted] = {}
+        self._pending: dict[int, PermitRequest] = {}
         self._last_number = 0
 
     # Leader and shares
@@ -79,7 +79,7 @@
         if leader == self._leader:
             return
         self._leader = leader
-        self._shares = Shares()
+        self._shares = DelegatedShares()
         self._bucket_by_life = {}
         for wanted in self._pending.values():
             _settle(wanted, NOT_GRANTED)
@@ -89,12 +89,12 @@
     def leader_heartbeat(self, leader: str) -> None:
         """Delegate this instance's share to the leader after its heartbeat."""
         if self._limits.any_in_force:
-            self._send(leader, LeaveShare(self._leaves_since(leader)))
+            self._send(leader, ShareDelegation(self._leaves_since(leader)))
 
     def share_delegated(self, peer: str, since: int) -> None:
         """Record that an instance delegates its share to this one."""
         if self._grants and since != NOT_KNOWN:
-            self._shares.left(peer, since * MICROSECOND)
+            self._shares.delegate(peer, since * MICROSECOND)
 
     @property
     def _grants(self) -> bool:
@@ -106,26 +106,26 @@
         """Update the buckets to the upstreams that have a limit now."""
         if not self._grants:
             return
-        known = {named.life for named in self._limits.all()}
+        known = {named.incarnation for named in self._limits.all()}
         self._bucket_by_life = {
-            life: bucket
-            for life, bucket in self._bucket_by_life.items()
-            if life in known
+            incarnation: bucket
+            for incarnation, bucket in self._bucket_by_life.items()
+            if incarnation in known
         }
         for named in self._limits.all():
             if named.per_second is not None:
-                self._bucket(named.life, named.per_second)
+                self._bucket(named.incarnation, named.per_second)
 
-    def _bucket(self, life: str, per_second: float) -> Bucket:
+    def _bucket(self, incarnation: str, per_second: float) -> Bucket:
         """Return the bucket of a limit, sized to the share granted by this instance."""
         now = self._clock.monotonic()
         share = self._share(now)
-        rate = max(per_second, LEAST_RATE)
+        rate = max(per_second, MIN_RATE)
         burst = max(rate * BURST_TIME.total_seconds(), 1.0) * share
-        bucket = self._bucket_by_life.get(life)
+        bucket = self._bucket_by_life.get(incarnation)
         if bucket is None:
             # It starts empty, because the number of earlier sends is not known.
-            bucket = self._bucket_by_life[life] = Bucket(rate, burst, 0.0, now)
+            bucket = self._bucket_by_life[incarnation] = Bucket(rate, burst, 0.0, now)
         bucket.resize(rate * share, burst, now)
         return bucket
 
@@ -141,7 +141,7 @@
         per_second = self._limits.of(upstream_id)
         if per_second is None:
             return None
-        return self._bucket(self._life_of(upstream_id), per_second)
+        return self._bucket(self._incarnation_of(upstream_id), per_second)
 
     def limited(self, upstream_id: str) -> bool:
         """Return whether an upstream has a rate limit."""
@@ -166,11 +166,11 @@
         self._metrics.count("permits", "granted" if granted else "refused")
         return granted
 
-    def asked(self, instance: str, message: AskPermit) -> None:
+    def asked(self, instance: str, message: PermitQuery) -> None:
         """Grant another instance a permit, or tell it when to ask again."""
         granted = self._grants and self.take(message.upstream)
         wait_ms = 0 if granted else self._wait_ms(message.upstream)
-        self._send(instance, PermitAnswered(message.number, granted, wait_ms))
+        self._send(instance, PermitResponse(message.number, granted, wait_ms))
 
     def _wait_ms(self, upstream_id: str) -> int:
         """Return after how many milliseconds to ask again; at least 1."""
@@ -179,7 +179,7 @@
 
     # Requesting
 
-    def ask(self, wanted: PermitWanted) -> None:
+    def ask(self, wanted: PermitRequest) -> None:
         """Request a permit for one send from the leader."""
         if self._leader is None:
             _settle(wanted, NOT_GRANTED)
@@ -188,9 +188,9 @@
         self._pending[self._last_number] = wanted
         if len(self._pending) > MAX_PENDING:
             del self._pending[next(iter(self._pending))]
-        self._send(self._leader, AskPermit(self._last_number, wanted.upstream_id))
+        self._send(self._leader, PermitQuery(self._last_number, wanted.upstream_id))
 
-    def answered(self, message: PermitAnswered) -> None:
+    def answered(self, message: PermitResponse) -> None:
         """Handle the leader's answer; a permit that is no longer waited for is lost."""
         wanted = self._pending.pop(message.number, None)
         if wanted is not None:
@@ -198,7 +198,7 @@
             _settle(wanted, Permit(message.granted, wait))
 
 
-def _settle(wanted: PermitWanted, permit: Permit) -> None:
+def _settle(wanted: PermitRequest, permit: Permit) -> None:
     """Answer a permit request, unless it has been cancelled."""
     if wanted.answer.set_running_or_notify_cancel():
         wanted.answer.set_result(permit)
--- a/packages/ashhoist/src/ashhoist/control/agent.py
+++ b/packages/ashhoist/src/ashhoist/control/placement_client.py
@@ -7,17 +7,24 @@
 
 from ..clock import Clock
 from ..failures import Reason
-from ..placement.asks import (
-    NoLongerWanted,
+from ..placement.messages import (
+    FirstEventReceived,
+    PlacementCancelled,
+    PlacementRequest,
     Refusal,
+    RequestEnded,
+    RequestSent,
     Target,
-    UseBegan,
-    UseEnded,
-    UseStarted,
-    Wanted,
 )
 from ..upstreams import Directory
-from .messages import Ask, Declined, Granted, Uses, Waits, Withdraw
+from .messages import (
+    EngineUses,
+    PlacementDeclined,
+    PlacementGranted,
+    PlacementQuery,
+    PlacementQueryCancel,
+    PlacementQueued,
+)
 
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -35,7 +42,7 @@
         return not (self.began or self.started or self.ended)
 
 
-class Agent:
+class PlacementClient:
     """Client of the leader for the requests of this instance.
 
     Keeps the requests that wait for an adapter and those running at engines, so that
@@ -60,27 +67,27 @@
         self._directory = directory
         self._tell_leader = tell_leader
         self._clock = clock
-        self._waiting: dict[str, Wanted] = {}
-        self._active_uses: dict[str, UseBegan] = {}
+        self._waiting: dict[str, PlacementRequest] = {}
+        self._active_uses: dict[str, RequestSent] = {}
         self._started_ids: set[str] = set()
         self._unsent = _UnsentChanges()
 
     # Requests of this instance that need an adapter
 
-    def wanted(self, wanted: Wanted) -> None:
+    def wanted(self, wanted: PlacementRequest) -> None:
         """Ask the leader to place a request that needs an adapter."""
         self._waiting[wanted.id] = wanted
         self._tell_leader(self._ask(wanted))
 
-    def no_longer_wanted(self, message: NoLongerWanted) -> None:
+    def no_longer_wanted(self, message: PlacementCancelled) -> None:
         """Withdraw a request that has ended while it was waiting."""
         if self._waiting.pop(message.id, None) is not None:
-            self._tell_leader(Withdraw(message.id))
+            self._tell_leader(PlacementQueryCancel(message.id))
 
-    def _ask(self, wanted: Wanted) -> Ask:
+    def _ask(self, wanted: PlacementRequest) -> PlacementQuery:
         """Return the message that asks the leader to place a request."""
         now = self._clock.monotonic()
-        return Ask(
+        return PlacementQuery(
             wanted.id,
             wanted.service,
             wanted.adapter.model,
@@ -89,17 +96,17 @@
             wanted.tokens,
             wanted.worth,
             wanted.late_worth,
-            _left_ms(wanted.aim_at, now),
-            _left_ms(wanted.limit, now),
+            _left_ms(wanted.on_time_until, now),
+            _left_ms(wanted.deadline, now),
             _left_ms(wanted.give_up_at, now),
             self._zone,
-            wanted.may_return,
+            wanted.may_retry,
             list(wanted.tried),
         )
 
     # Responses of the leader
 
-    def handle_granted(self, granted: Granted) -> None:
+    def handle_granted(self, granted: PlacementGranted) -> None:
         """Send a request to the engine that the leader has chosen."""
         wanted = self._waiting.pop(granted.id, None)
         upstream = self._directory.view.by_id.get(granted.upstream)
@@ -108,13 +115,13 @@
         )
         if wanted is None or not still_waits:
             # The request is gone, but the leader counts it at the engine until told.
-            self.ended(UseEnded(granted.id, granted.upstream))
+            self.ended(RequestEnded(granted.id, granted.upstream))
             return
         if upstream is None:
-            self.ended(UseEnded(granted.id, granted.upstream))
+            self.ended(RequestEnded(granted.id, granted.upstream))
             wanted.answer.set_result(Refusal(Reason.NO_UPSTREAM))
             return
-        use = UseBegan(granted.id, upstream.id, wanted.adapter, wanted.tokens)
+        use = RequestSent(granted.id, upstream.id, wanted.adapter, wanted.tokens)
         self._active_uses[use.id] = use
         version = granted.version or None
         expected = granted.expected_ms * MILLISECOND
@@ -123,13 +130,13 @@
         )
         wanted.answer.set_result(target)
 
-    def handle_queued(self, message: Waits) -> None:
+    def handle_queued(self, message: PlacementQueued) -> None:
         """Note that the leader has queued a request."""
         wanted = self._waiting.get(message.id)
-        if wanted is not None and not wanted.taken_in.done():
-            wanted.taken_in.set_result(None)
+        if wanted is not None and not wanted.acknowledged.done():
+            wanted.acknowledged.set_result(None)
 
-    def handle_declined(self, declined: Declined) -> None:
+    def handle_declined(self, declined: PlacementDeclined) -> None:
         """Refuse a request that the leader has declined."""
         wanted = self._waiting.pop(declined.id, None)
         if wanted is None:
@@ -138,7 +145,7 @@
         if wanted.answer.set_running_or_notify_cancel():
             wanted.answer.set_result(Refusal(_reason_of(declined.reason), wait))
 
-    def greet_leader(self) -> None:
+    def send_all_to_leader(self) -> None:
         """Send a new leader all uses of engines and all waiting requests."""
         self._tell_leader(self._all_uses())
         for wanted in list(self._waiting.values()):
@@ -146,30 +153,30 @@
 
     # Use of engines
 
-    def began(self, use: UseBegan) -> None:
+    def began(self, use: RequestSent) -> None:
         """Record a use that was not granted by the leader."""
         self._active_uses[use.id] = use
         self._unsent.began.append(_use_row(use))
 
-    def started(self, use: UseStarted) -> None:
+    def started(self, use: FirstEventReceived) -> None:
         """Record that a request has received its first event."""
         self._started_ids.add(use.id)
         self._unsent.started.append([use.id, use.upstream])
 
-    def ended(self, use: UseEnded) -> None:
+    def ended(self, use: RequestEnded) -> None:
         """Record the end of a use."""
         self._active_uses.pop(use.id, None)
         self._started_ids.discard(use.id)
-        self._unsent.ended.append([use.id, use.upstream, str(use.end)])
+        self._unsent.ended.append([use.id, use.upstream, str(use.outcome)])
 
-    def tell_uses(self) -> None:
+    def send_use_changes(self) -> None:
         """Send the leader the changes since the last call."""
         if self._unsent.is_empty:
             return
         unsent, self._unsent = self._unsent, _UnsentChanges()
-        self._tell_leader(Uses(unsent.began, unsent.started, unsent.ended))
+        self._tell_leader(EngineUses(unsent.began, unsent.started, unsent.ended))
 
-    def _all_uses(self) -> Uses:
+    def _all_uses(self) -> EngineUses:
         """Return all current uses, for a leader that knows none yet."""
         self._unsent = _UnsentChanges()
         began = [_use_row(use) for use in self._active_uses.values()]
@@ -178,10 +185,10 @@
             for use in self._active_uses.values()
             if use.id in self._started_ids
         ]
-        return Uses(began, started, [])
+        return EngineUses(began, started, [])
 
 
-def _use_row(use: UseBegan) -> list[object]:
+def _use_row(use: RequestSent) -> list[object]:
     return [use.id, use.upstream, use.adapter.model, use.adapter.name, use.tokens]
 
 
--- a/packages/ashhoist/src/ashhoist/control/proofs.py
+++ b/packages/ashhoist/src/ashhoist/control/proofs.py
@@ -14,11 +14,11 @@
 from ..customers import Proof
 from ..logs import Logger
 from ..store import Position, Topic
+from .effects import Effects
 from .hubs import Hubs
-from .knowledge import Knowledge
-from .messages import AskProof, Proven
-from .outside import Outside
+from .messages import ProofRequest, ProofResponse
 from .peers import Peers
+from .replica import Replica
 
 MICROSECOND = timedelta(microseconds=1)
 ASK_OTHERS_AFTER = timedelta(milliseconds=1800)
@@ -39,8 +39,8 @@
     ----------
     wanted : callable
         Returns whether proof is needed: the configuration has customers with keys.
-    leaves_since : callable
-        Takes an instance; returns the `ProofRequest.leaves_since` to send to it.
+    delegated_since : callable
+        Takes an instance; returns the `ProofRequest.delegated_since` to send to it.
     catch_up : callable
         Takes an instance and the offset up to which it knows the configuration; called
         when that is ahead of this instance.
@@ -51,24 +51,24 @@
     def __init__(
         self,
         proof: Proof,
-        knowledge: Knowledge,
+        replica: Replica,
         peers: Peers,
         hubs: Hubs,
-        outside: Outside,
+        effects: Effects,
         wanted: Callable[[], bool],
-        leaves_since: Callable[[str], int],
+        delegated_since: Callable[[str], int],
         catch_up: Callable[[str, Position], None],
         tell: Callable[[str, Any], None],
         clock: Clock,
         log: Logger,
     ) -> None:
         self._proof = proof
-        self._knowledge = knowledge
+        self._replica = replica
         self._peers = peers
         self._hubs = hubs
-        self._outside = outside
+        self._outside = effects
         self._wanted = wanted
-        self._leaves_since = leaves_since
+        self._leaves_since = delegated_since
         self._catch_up = catch_up
         self._tell = tell
         self._clock = clock
@@ -76,7 +76,7 @@
         self._asked_others_at = ZERO
         self._log_read_at = ZERO
         self._next_candidate = 0
-        self._pending_proof: Proven | None = None
+        self._pending_proof: ProofResponse | None = None
         self._was_held = True
 
     # Proof received
@@ -85,7 +85,7 @@
         """Record that a read of the log has returned the whole configuration."""
         self._proof.prove(asked_at)
 
-    def handle_response(self, peer: str, proven: Proven) -> None:
+    def handle_response(self, peer: str, proven: ProofResponse) -> None:
         """Use another instance's proof, once its configuration is known here too."""
         if self._knows_as_much(proven):
             self._prove(proven)
@@ -93,10 +93,10 @@
         self._pending_proof = proven
         self._catch_up(peer, Position(proven.offset))
 
-    def _knows_as_much(self, proven: Proven) -> bool:
-        return self._knowledge.known_to(Topic.CONFIGURATION) >= proven.offset
+    def _knows_as_much(self, proven: ProofResponse) -> bool:
+        return self._replica.known_up_to(Topic.CONFIGURATION) >= proven.offset
 
-    def _prove(self, proven: Proven) -> None:
+    def _prove(self, proven: ProofResponse) -> None:
         self._proof.prove((proven.asked_at - proven.age_us) * MICROSECOND)
 
     def configuration_updated(self, leader: str | None) -> None:
@@ -110,14 +110,14 @@
 
     # Proof given to others
 
-    def handle_request(self, peer: str, message: AskProof) -> None:
+    def handle_request(self, peer: str, message: ProofRequest) -> None:
         """Send another instance the proof that this one has, if any."""
         age = self._proof.age(self._clock.monotonic())
-        offset = self._knowledge.known_to(Topic.CONFIGURATION)
+        offset = self._replica.known_up_to(Topic.CONFIGURATION)
         if age is None or offset < 0:
             return
         age_us = -(-age // MICROSECOND)
-        self._tell(peer, Proven(message.asked_at, age_us, offset))
+        self._tell(peer, ProofResponse(message.asked_at, age_us, offset))
 
     # Proof requested
 
@@ -141,7 +141,7 @@
             self._ask(leader, self._clock.monotonic())
 
     def _ask(self, peer: str, now: timedelta) -> None:
-        self._tell(peer, AskProof(now // MICROSECOND, self._leaves_since(peer)))
+        self._tell(peer, ProofRequest(now // MICROSECOND, self._leaves_since(peer)))
 
     def _ask_another(self, leader: str | None, now: timedelta) -> None:
         candidates = self._candidates(leader, now)
@@ -154,7 +154,7 @@
         fresh = [peer for peer in self._peers.fresh(now) if peer.name != leader]
         fresh.sort(
             key=lambda peer: (
-                peer.beat is None or not peer.beat.reads_log,
+                peer.heartbeat is None or not peer.heartbeat.reads_log,
                 not self._hubs.is_hub(peer.name),
             )
         )
@@ -170,7 +170,7 @@
         self._outside.read_now(Topic.CONFIGURATION)
 
     def _log_if_changed(self, now: timedelta) -> None:
-        held = self._proof.holds(now)
+        held = self._proof.is_recent(now)
         if held == self._was_held:
             return
         self._was_held = held
--- a/packages/ashhoist/src/ashhoist/control/quotas.py
+++ b/packages/ashhoist/src/ashhoist/control/quotas.py
@@ -10,13 +10,13 @@
 
 from ..clock import ZERO, Clock
 from ..customers import Allowances, Customer, Granter, QuotaBounds, Standing
-from ..customers.charges import Charge, Charged, ChargeUnanswered, TokensUnused
-from ..customers.granter import Use
+from ..customers.charges import Charge, ChargeResult, ChargeTimedOut, TokenRefund
+from ..customers.granter import QuotaUse
 from ..logs import Logger
 from ..metrics import Metrics
-from ..rates import LEFT_FOR
-from ..routing.in_force import InForce
-from .messages import Beat, DrawTokens, ReturnTokens, TokensDrawn
+from ..rates import SHARE_DELEGATION_TIME
+from ..routing.active_configuration import ActiveConfiguration
+from .messages import Heartbeat, ReturnTokens, TokenGrant, TokenRequest
 from .peers import Peers
 
 MILLISECOND = timedelta(milliseconds=1)
@@ -27,7 +27,7 @@
 MAX_PENDING = 1024
 """Pending draws that are remembered; beyond that the oldest is dropped."""
 NOT_KNOWN = -1
-TIGHT_VALID_FOR = LEFT_FOR + timedelta(milliseconds=600)
+TIGHT_VALID_FOR = SHARE_DELEGATION_TIME + timedelta(milliseconds=600)
 """How long a leader's list of customers close to their limit stays valid: long enough
 for another leader to take over."""
 WARM_UP = timedelta(seconds=3)
@@ -65,7 +65,7 @@
         self,
         own: str,
         bounds: QuotaBounds,
-        in_force: InForce,
+        active_configuration: ActiveConfiguration,
         peers: Peers,
         knows_others: Callable[[], bool],
         send: Callable[[str, Any], None],
@@ -75,7 +75,7 @@
     ) -> None:
         self._own = own
         self._bounds = bounds
-        self._in_force = in_force
+        self._in_force = active_configuration
         self._peers = peers
         self._knows_others = knows_others
         self._send = send
@@ -103,7 +103,7 @@
         if leader == self._leader:
             return
         self._leader = leader
-        self._allowances.forget_granted()
+        self._allowances.discard_granted()
         self._pending.clear()
         self._granter = None
         if leader == self._own:
@@ -120,14 +120,14 @@
         others = len(self._peers.by_name)
         return others + 1 if others or self._knows_others() else 0
 
-    def beaten(self, peer: str, beat: Beat) -> None:
+    def handle_heartbeat(self, peer: str, heartbeat: Heartbeat) -> None:
         """Record the time and the tight customers that a heartbeat carries."""
         now = self._clock.monotonic()
-        self._heartbeat_by_peer[peer] = (beat.sent_at, now)
-        if peer == self._leader and beat.leads:
-            self._tight = frozenset(beat.tight)
+        self._heartbeat_by_peer[peer] = (heartbeat.sent_at, now)
+        if peer == self._leader and heartbeat.leads:
+            self._tight = frozenset(heartbeat.tight)
             self._tight_at = now
-        if peer == self._delegated_to and not beat.leads:
+        if peer == self._delegated_to and not heartbeat.leads:
             # It has announced itself that it no longer grants.
             self._delegated_to, self._delegated_until = None, ZERO
 
@@ -156,7 +156,7 @@
             self._tight_at = now
         return list(self._tight)
 
-    def leaves_since(self, peer: str) -> int:
+    def delegated_since(self, peer: str) -> int:
         """Return since when this instance delegates its share to the leader, or -1.
 
         The time is on the leader's clock, as its latest heartbeat carried it.
@@ -169,7 +169,9 @@
             return NOT_KNOWN
         leader_time, heard_at = heartbeat
         self._delegated_to = peer
-        self._delegated_until = max(self._delegated_until, heard_at + LEFT_FOR)
+        self._delegated_until = max(
+            self._delegated_until, heard_at + SHARE_DELEGATION_TIME
+        )
         return leader_time
 
     def share_delegated(self, peer: str, since: int) -> None:
@@ -183,7 +185,7 @@
         """Charge a request; draw tokens from the leader if too few are left here."""
         now = self._clock.monotonic()
         if self._allowances.spend(charge.customer, charge.tokens, now):
-            charge.settle(Charged(True))
+            charge.settle(ChargeResult(True))
             return
         if self._leader is None or self._is_leader_silent(now) or self._is_alone(now):
             self._charge_locally(charge)
@@ -204,11 +206,11 @@
         self._pending[self._last_number] = _PendingDraw(charge, now)
         if len(self._pending) > MAX_PENDING:
             del self._pending[next(iter(self._pending))]
-        extra = self._allowances.ahead(charge.customer, now)
-        message = DrawTokens(self._last_number, charge.customer, charge.tokens, extra)
+        extra = self._allowances.expected_need(charge.customer, now)
+        message = TokenRequest(self._last_number, charge.customer, charge.tokens, extra)
         self._send(self._leader, message)
 
-    def drawn(self, drawn: TokensDrawn) -> None:
+    def drawn(self, drawn: TokenGrant) -> None:
         """Handle the leader's answer to a draw."""
         pending = self._pending.pop(drawn.number, None)
         if pending is None:
@@ -217,17 +219,17 @@
         now = self._clock.monotonic()
         charge = pending.charge
         if drawn.tokens > 0:
-            use = Use(drawn.used, drawn.spare)
+            use = QuotaUse(drawn.used, drawn.spare)
             self._allowances.granted(charge.customer, drawn.tokens, use, now)
             if charge.settled:
                 return
             self._allowances.spend(charge.customer, charge.tokens, now)
-            charge.settle(Charged(True))
+            charge.settle(ChargeResult(True))
             return
         if drawn.wait_ms == NOT_KNOWN or not self._leader_has_own_share:
             self._charge_locally(charge)
             return
-        charge.settle(Charged(False, True, drawn.wait_ms * MILLISECOND))
+        charge.settle(ChargeResult(False, True, drawn.wait_ms * MILLISECOND))
 
     @property
     def _leader_has_own_share(self) -> bool:
@@ -241,7 +243,7 @@
                 return
             self._charge_locally(self._pending.pop(older).charge)
 
-    def charge_timed_out(self, message: ChargeUnanswered) -> None:
+    def charge_timed_out(self, message: ChargeTimedOut) -> None:
         """Charge a request locally: it can't wait for the leader any longer."""
         self._charge_locally(message.charge)
 
@@ -251,12 +253,12 @@
         now = self._clock.monotonic()
         customer = self._customer(charge.customer)
         if customer is None or customer.quota is None:
-            charge.settle(Charged(customer is not None))
+            charge.settle(ChargeResult(customer is not None))
             return
         if not self.instances:
-            charge.settle(Charged(False))
+            charge.settle(ChargeResult(False))
             return
-        wait = self._allowances.spend_alone(
+        wait = self._allowances.spend_locally(
             charge.customer,
             customer.quota,
             charge.tokens,
@@ -265,39 +267,39 @@
             now,
         )
         self._metrics.count("charged_alone", "refused" if wait else "spent")
-        charge.settle(Charged(wait is None, False, wait))
+        charge.settle(ChargeResult(wait is None, False, wait))
 
     def _standing(self, customer: str) -> Standing:
         if self._clock.monotonic() - self._tight_at >= TIGHT_VALID_FOR:
             return Standing.UNKNOWN
         return Standing.TIGHT if customer in self._tight else Standing.BELOW
 
-    def refund(self, message: TokensUnused) -> None:
+    def refund(self, message: TokenRefund) -> None:
         """Refund the tokens of a charged request that has not run."""
         now = self._clock.monotonic()
-        self._allowances.put_back(message.customer, message.tokens, now)
+        self._allowances.refund_tokens(message.customer, message.tokens, now)
 
     def return_unused_tokens(self) -> None:
         """Return granted tokens that this instance has not needed to the leader."""
-        found = self._allowances.left_over(self._clock.monotonic())
+        found = self._allowances.take_unused(self._clock.monotonic())
         if found and self._leader is not None:
             rows = [[customer, tokens] for customer, tokens in found.items()]
             self._send(self._leader, ReturnTokens(rows))
 
     # Granting
 
-    def asked(self, instance: str, draw: DrawTokens) -> None:
+    def asked(self, instance: str, draw: TokenRequest) -> None:
         """Answer an instance's draw with a grant, or with the time to wait."""
         self._send(instance, self._grant(draw))
 
-    def _grant(self, draw: DrawTokens) -> TokensDrawn:
+    def _grant(self, draw: TokenRequest) -> TokenGrant:
         customer = self._customer(draw.customer)
         now = self._clock.monotonic()
         grants = self._granter is not None and not self._is_alone(now)
         if not grants or customer is None or not self.instances:
-            return TokensDrawn(draw.number, 0.0, NOT_KNOWN, 0.0, 0.0)
+            return TokenGrant(draw.number, 0.0, NOT_KNOWN, 0.0, 0.0)
         if customer.quota is None:
-            return TokensDrawn(draw.number, draw.needed, 0, 0.0, 0.0)
+            return TokenGrant(draw.number, draw.needed, 0, 0.0, 0.0)
         assert self._granter is not None
         grant = self._granter.grant(
             customer.name,
@@ -309,11 +311,11 @@
         )
         if grant.tokens:
             use = grant.use
-            return TokensDrawn(draw.number, grant.tokens, 0, use.rate, use.spare)
+            return TokenGrant(draw.number, grant.tokens, 0, use.rate, use.spare)
         self._has_new_tight = self._has_new_tight or customer.name not in self._tight
         wait = int((grant.wait or MAX_WAIT) / MILLISECOND)
         self._log_used_up(customer.name, draw.needed, wait, now)
-        return TokensDrawn(draw.number, 0.0, wait, 0.0, 0.0)
+        return TokenGrant(draw.number, 0.0, wait, 0.0, 0.0)
 
     def _log_used_up(
         self, customer: str, needed: float, wait_ms: int, now: timedelta
--- a/packages/ashhoist/src/ashhoist/control/readers.py
+++ b/packages/ashhoist/src/ashhoist/control/readers.py
@@ -18,7 +18,7 @@
 """How long a newly started instance, which has read once, waits for a leader."""
 HUBS_ONLY_FOR = timedelta(milliseconds=1500)
 """How long instances that are not hubs leave reading to the hubs."""
-NEWS_OF_READER_AWAITED = timedelta(milliseconds=300)
+READER_GRACE = timedelta(milliseconds=300)
 """How long an instance still counts as a reader after the time that its last heartbeat
 granted: a heartbeat that extends this time may be on its way."""
 PEERS_WAIT = timedelta(milliseconds=600)
@@ -30,7 +30,7 @@
 along with all other records, and is sent the latter as soon as it is linked."""
 
 
-class FirstRead:
+class InitialRead:
     """Decides when a newly started instance reads the log.
 
     In a large deployment only hubs do so at once. Otherwise, if for example 195
@@ -87,7 +87,7 @@
         return True
 
 
-class Readers:
+class LogReaderSelection:
     """Decides whether this instance reads the log itself.
 
     Parameters
@@ -104,7 +104,7 @@
         self._started_at = clock.monotonic()
         self._no_reader_since: timedelta | None = None
 
-    def reads_itself(self, leader: str | None) -> bool:
+    def is_log_reader(self, leader: str | None) -> bool:
         """Return whether this instance should read the log.
 
         Parameters
@@ -141,12 +141,12 @@
     def _is_active_reader(self, name: str) -> bool:
         now = self._clock.monotonic()
         peer = self._peers.by_name.get(name)
-        if peer is None or peer.beat is None or not peer.is_fresh(now):
+        if peer is None or peer.heartbeat is None or not peer.is_recent(now):
             return False
-        if peer.stops or not peer.beat.reads_log:
+        if peer.stops or not peer.heartbeat.reads_log:
             return False
-        reads_until = peer.heartbeat_at + peer.beat.reader_for_ms * MILLISECOND
+        reads_until = peer.heartbeat_at + peer.heartbeat.reader_for_ms * MILLISECOND
         # The time that the heartbeat granted limits this, not only the age of the
         # heartbeat. Otherwise the two times would add up before a change that the
         # reader has missed is read by others.
-        return now < reads_until + NEWS_OF_READER_AWAITED
+        return now < reads_until + READER_GRACE
--- a/packages/ashhoist/src/ashhoist/control/relays.py
+++ b/packages/ashhoist/src/ashhoist/control/record_codec.py
@@ -14,13 +14,13 @@
 
 from ..store import Position, Record
 
-LONG = 1024
+COMPRESS_FROM = 1024
 """Minimum bytes of encoded records for compression."""
 COMPRESSION_LEVEL = 1
 """Compression level of zlib."""
 CACHE_SIZE = 8
 """Size of the cache of compressed records, since many receivers get the same ones."""
-LARGEST = 16_777_216
+MAX_SIZE = 16_777_216
 """Maximum bytes of decompressed records; larger data is a fault and is rejected."""
 
 
@@ -28,7 +28,7 @@
     """Return records encoded as bytes, and whether the bytes are compressed."""
     rows = [[record.offset, record.key, record.value] for record in records]
     data = cbor2.dumps(rows)
-    return (data, False) if len(data) < LONG else (_compressed(data), True)
+    return (data, False) if len(data) < COMPRESS_FROM else (_compressed(data), True)
 
 
 def unpack(data: bytes, is_compressed: bool) -> list[Record]:
@@ -54,9 +54,9 @@
 def _decompressed(data: bytes) -> bytes:
     unpacker = zlib.decompressobj()
     try:
-        found = unpacker.decompress(data, LARGEST)
+        found = unpacker.decompress(data, MAX_SIZE)
     except zlib.error as error:
         raise ValueError(f"records can't be decompressed: {error}") from None
     if not unpacker.eof:
-        raise ValueError(f"compressed records are truncated or exceed {LARGEST} bytes")
+        raise ValueError(f"compressed records are truncated or exceed {MAX_SIZE} bytes")
     return found
--- a/packages/ashhoist/src/ashhoist/control/records.py
+++ b/packages/ashhoist/src/ashhoist/control/records.py
@@ -12,10 +12,10 @@
 from ..metrics import Metrics
 from ..placement import Residency
 from ..quarantine import MalformedRecordError, Quarantine, decode_record
-from ..routing.in_force import InForce
-from ..store import Pace, Position, Record, Topic, era_of, position
-from ..store.follower import Followed
-from ..upstreams import Directory, Health, Lapses
+from ..routing.active_configuration import ActiveConfiguration
+from ..store import Position, ReadPacing, Record, Topic, era_of, position
+from ..store.follower import FollowedRecords
+from ..upstreams import Directory, Health, LapsedEnds
 from . import messages
 from .changes import (
     Change,
@@ -26,19 +26,19 @@
     UpstreamRefused,
     VersionNamed,
 )
+from .effects import Effects
 from .hubs import Hubs
-from .knowledge import (
+from .peers import Peers
+from .record_codec import pack, unpack
+from .replica import (
     EMPTY_TOPIC,
-    MOST_RELAYED,
+    INCOMPLETE,
+    MAX_RELAYED,
     NEEDED_TOPICS,
-    NOT_WHOLE,
     PULL_PAUSE,
-    Knowledge,
+    Replica,
 )
-from .outside import Outside
-from .peers import Peers
-from .relays import pack, unpack
-from .returns import ReturnedUpstreams
+from .restored_upstreams import RestoredUpstreams
 
 ANSWER_GRACE = timedelta(milliseconds=700)
 """Time beyond a topic's round after which its next answer is overdue. Slow answers take
@@ -68,15 +68,15 @@
     def __init__(
         self,
         decode: Decode,
-        in_force: InForce,
+        active_configuration: ActiveConfiguration,
         directory: Directory,
         residency: Residency,
         health: Health,
         quarantine: Quarantine,
         peers: Peers,
         hubs: Hubs,
-        outside: Outside,
-        paces: Mapping[Topic, Pace],
+        effects: Effects,
+        paces: Mapping[Topic, ReadPacing],
         upstreams_changed: Callable[[], None],
         log_restored: Callable[[], None],
         clock: Clock,
@@ -84,14 +84,14 @@
         log: Logger,
     ) -> None:
         self._decode = decode
-        self._in_force = in_force
+        self._in_force = active_configuration
         self._directory = directory
         self._residency = residency
         self._health = health
         self._quarantine = quarantine
         self._peers = peers
         self._hubs = hubs
-        self._outside = outside
+        self._outside = effects
         self._paces = paces
         self._upstreams_changed = upstreams_changed
         self._log_restored = log_restored
@@ -99,9 +99,9 @@
         self._clock = clock
         self._metrics = metrics
         self._log = log
-        self.knowledge = Knowledge()
-        self._lapses = Lapses(clock)
-        self._returned = ReturnedUpstreams(clock)
+        self.replica = Replica()
+        self._lapses = LapsedEnds(clock)
+        self._returned = RestoredUpstreams(clock)
         self._log_may_lack_upstreams = False
         self._log_unread_at = ZERO
         self._version_pulled_at: timedelta | None = None
@@ -121,7 +121,7 @@
         if not self.knows_all:
             return ZERO
         expected_at = min(
-            self.knowledge.read_at(topic) + pace.round
+            self.replica.read_at(topic) + pace.idle_interval
             for topic, pace in self._paces.items()
         )
         overdue_at = expected_at + ANSWER_GRACE
@@ -130,21 +130,21 @@
     @property
     def knows_all(self) -> bool:
         """Return whether all topics needed for serving are completely known."""
-        return all(self.knowledge.is_whole(topic) for topic in NEEDED_TOPICS)
+        return all(self.replica.is_complete(topic) for topic in NEEDED_TOPICS)
 
     def knows_latest(self, topic: Topic) -> bool:
         """Return whether a topic is completely known and no peer is ahead."""
-        return self.knowledge.is_whole(topic) and topic not in self._peers_ahead
+        return self.replica.is_complete(topic) and topic not in self._peers_ahead
 
     # Records received
 
-    def followed(self, followed: Followed) -> None:
+    def followed(self, followed: FollowedRecords) -> None:
         """Apply records that were read from the log, and relay the new ones."""
         now = self._clock.monotonic()
         topic = followed.topic
-        known_offset = self.knowledge.offset(topic)
+        known_offset = self.replica.offset(topic)
         self._note_era(topic, followed.end)
-        if followed.whole and followed.end <= known_offset:
+        if followed.is_snapshot and followed.end <= known_offset:
             self._log.warning(
                 "log ends before newest known record",
                 topic=topic,
@@ -155,11 +155,11 @@
         applied = [
             record for record in followed.records if self._process_record(topic, record)
         ]
-        if followed.whole:
+        if followed.is_snapshot:
             listed = {record.key for record in followed.records}
             applied += self._drop_unlisted(topic, listed, followed.end)
-            self.knowledge.note_complete(topic)
-        self.knowledge.reached(topic, followed.read_to, now)
+            self.replica.note_complete(topic)
+        self.replica.reached(topic, followed.read_to, now)
         self._finish_batch(topic)
         if applied:
             self._pass_on(topic, known_offset, applied)
@@ -169,8 +169,8 @@
         if at < 0:  # no position, hence no era
             return
         now = self._clock.monotonic()
-        is_restored = self.knowledge.note_era(topic, era_of(at), now)
-        self._metrics.gauge("log_era", self.knowledge.era(topic), topic)
+        is_restored = self.replica.note_era(topic, era_of(at), now)
+        self._metrics.gauge("log_era", self.replica.era(topic), topic)
         if not is_restored:
             return
         self._log.info("log restored", topic=topic, era=era_of(at))
@@ -216,7 +216,7 @@
         returned = self._returned.due()
         for record in returned:
             self._apply_record(Topic.UPSTREAMS, record)
-            self.knowledge.keep(Topic.UPSTREAMS, record)
+            self.replica.keep(Topic.UPSTREAMS, record)
         return returned
 
     def _end_lost_upstreams(self) -> bool:
@@ -228,11 +228,11 @@
         topic = Topic.UPSTREAMS
         if not self._log_may_lack_upstreams or not self.knows_latest(topic):
             return False
-        log_read_since = max(self.knowledge.era_since(topic), self._log_unread_at)
+        log_read_since = max(self.replica.era_since(topic), self._log_unread_at)
         if self._clock.monotonic() - log_read_since < REWRITE_WITHIN:
             return False
         self._log_may_lack_upstreams = False
-        era = self.knowledge.era(topic)
+        era = self.replica.era(topic)
         ended_at = Position(position(era, 0) - 1)
         lost = self._directory.recorded_before(era)
         for upstream in lost:
@@ -240,8 +240,8 @@
             born = None if known is None else known.born
             self._end_upstream_now(upstream, ended_at)
             # Keeps a later restore from bringing the ended upstream back.
-            self._returned.note_end(upstream, self.knowledge.offset(topic), born)
-            self.knowledge.keep(topic, Record(ended_at, upstream, None))
+            self._returned.note_end(upstream, self.replica.offset(topic), born)
+            self.replica.keep(topic, Record(ended_at, upstream, None))
         return bool(lost)
 
     def _process_record(self, topic: Topic, record: Record) -> bool:
@@ -249,12 +249,12 @@
 
         True if it changed something, or moved its key to a position in a later era.
         """
-        if not self.knowledge.is_news(topic, record):
+        if not self.replica.is_news(topic, record):
             return False
         if self._apply_record(topic, record):
-            self.knowledge.keep(topic, record)
+            self.replica.keep(topic, record)
             return True
-        return self.knowledge.update_position(topic, record)
+        return self.replica.update_position(topic, record)
 
     def _apply_record(self, topic: Topic, record: Record) -> bool:
         if topic is Topic.CRASHES:
@@ -283,14 +283,14 @@
         if sum(_value_size(record) for record in records) > MAX_PUSHED_BYTES:
             self._announce(topic, peers)
             return
-        newest = self.knowledge.offset(topic)
+        newest = self.replica.offset(topic)
         relay = messages.Relay(str(topic), after, newest, *pack(records))
         for peer in peers:
             self._outside.send_to(peer, relay)
 
     def _announce(self, topic: Topic, peers: list[str]) -> None:
         """Announce to others that there are new records to pull."""
-        message = messages.LargeRecordsNotice(str(topic), self.knowledge.offset(topic))
+        message = messages.LargeRecordsNotice(str(topic), self.replica.offset(topic))
         for peer in peers:
             self._outside.send_to(peer, message)
 
@@ -298,7 +298,7 @@
         self, topic: Topic, listed: set[str], end: Position
     ) -> list[Record]:
         """End keys missing from a complete list; return the end records to relay."""
-        ends = self.knowledge.drop_ended(topic, listed, end)
+        ends = self.replica.drop_ended(topic, listed, end)
         if topic is Topic.CRASHES:
             self._quarantine.keep_only(listed, end)
         if topic is not Topic.UPSTREAMS:
@@ -311,8 +311,8 @@
                 continue
             self._end_upstream_now(upstream, last_offset, individual=True)
             end_record = Record(last_offset, upstream, None)
-            self.knowledge.keep(topic, end_record)
-            self.knowledge.see(topic, last_offset)
+            self.replica.keep(topic, end_record)
+            self.replica.see(topic, last_offset)
             ends.append(end_record)
         return ends
 
@@ -334,7 +334,7 @@
 
     def _name_version(self, change: VersionNamed) -> bool:
         now = self._clock.monotonic()
-        if not self._in_force.name_version(change.adapter, change.version, now):
+        if not self._in_force.set_required_version(change.adapter, change.version, now):
             return False
         self._log.info(
             "adapter version changed",
@@ -344,7 +344,7 @@
         return True
 
     def _put_configuration(self, change: ConfigurationPut) -> bool:
-        if not self._in_force.put(change.configuration):
+        if not self._in_force.activate(change.configuration):
             return False
         self._log.info("configuration in force", version=self._in_force.version)
         self._metrics.gauge("configuration_offset", self._in_force.version)
@@ -353,13 +353,13 @@
 
     def _put_upstream(self, change: UpstreamPut) -> bool:
         upstream = change.upstream
-        if era_of(upstream.offset) < self.knowledge.era(Topic.UPSTREAMS):
+        if era_of(upstream.offset) < self.replica.era(Topic.UPSTREAMS):
             self._log_may_lack_upstreams = True
-        had_lapsed = self._lapses.back(upstream.id)
+        had_lapsed = self._lapses.cancel(upstream.id)
         previous = self._directory.get(upstream.id)
         if not self._directory.put(upstream) and not had_lapsed:
             return False
-        if previous is not None and previous.life != upstream.life:
+        if previous is not None and previous.incarnation != upstream.incarnation:
             self._log.info("upstream restarted", upstream=upstream.id)
             self._drop_state(upstream.id)
         self._log.info(
@@ -432,18 +432,18 @@
         """Pull the records that a peer is ahead by, or read the log if that fails."""
         now = self._clock.monotonic()
         if offset == EMPTY_TOPIC:
-            self.knowledge.note_empty(topic)
-        if not self.knowledge.note_peer_position(topic, offset, now):
+            self.replica.note_empty(topic)
+        if not self.replica.note_peer_position(topic, offset, now):
             self._peers_ahead.pop(topic, None)
             return
         self._peers_ahead[topic] = (peer, offset)
-        if self.knowledge.pull_due(topic, self._hubs.is_preferred_source(peer), now):
-            after = self.knowledge.seen(topic)
+        if self.replica.pull_due(topic, self._hubs.is_preferred_source(peer), now):
+            after = self.replica.seen(topic)
             self._log.info(
                 "records pulled", topic=topic, peer=peer, after=after, to=offset
             )
             self._outside.send_to(peer, messages.Pull(str(topic), after))
-        if self.knowledge.read_due(topic, now):
+        if self.replica.read_due(topic, now):
             self._outside.read_now(topic)
 
     def pull_newer_version(self, peer: str, version: int) -> None:
@@ -461,17 +461,17 @@
             return
         self._version_pulled_at = now
         self._log.info("newer configuration pulled", peer=peer, version=version)
-        self._outside.send_to(peer, messages.Pull(str(topic), NOT_WHOLE))
+        self._outside.send_to(peer, messages.Pull(str(topic), INCOMPLETE))
 
     def pulled(self, peer: str, pull: messages.Pull) -> None:
         """Answer a peer's pull with the records that it lacks."""
         topic = Topic(pull.topic)
-        records = self.knowledge.after(topic, Position(pull.after))
-        if not records or not self.knowledge.is_whole(topic):
+        records = self.replica.after(topic, Position(pull.after))
+        if not records or not self.replica.is_complete(topic):
             # The peer would treat a partial replica as a complete one.
             return
-        up_to = self.knowledge.known_to(topic)
-        if len(records) == MOST_RELAYED:
+        up_to = self.replica.known_up_to(topic)
+        if len(records) == MAX_RELAYED:
             up_to = min(up_to, records[-1].offset)
         relay = messages.Relay(pull.topic, pull.after, up_to, *pack(records))
         self._outside.send_to(peer, relay)
@@ -482,9 +482,9 @@
         self._note_era(topic, Position(relay.up_to))
         records = unpack(relay.records, relay.compressed)
         applied = [record for record in records if self._process_record(topic, record)]
-        seen = self.knowledge.seen(topic)
+        seen = self.replica.seen(topic)
         if relay.after <= seen:
-            self.knowledge.see(topic, Position(relay.up_to))
+            self.replica.see(topic, Position(relay.up_to))
             self._continue_pull(peer, topic, seen)
         else:
             self.catch_up(peer, topic, Position(relay.up_to))
@@ -494,14 +494,14 @@
 
     def _continue_pull(self, peer: str, topic: Topic, seen_before: Position) -> None:
         """Pull the next records of a peer, or note that there are no more."""
-        seen = self.knowledge.seen(topic)
-        _, peer_offset = self._peers_ahead.get(topic, (peer, NOT_WHOLE))
+        seen = self.replica.seen(topic)
+        _, peer_offset = self._peers_ahead.get(topic, (peer, INCOMPLETE))
         if peer_offset > seen:
             if seen > seen_before:
                 self._outside.send_to(peer, messages.Pull(str(topic), seen))
             return
         self._peers_ahead.pop(topic, None)
-        self.knowledge.note_complete(topic)
+        self.replica.note_complete(topic)
 
 
 def _value_size(record: Record) -> int:
--- a/packages/ashhoist/src/ashhoist/control/knowledge.py
+++ b/packages/ashhoist/src/ashhoist/control/replica.py
@@ -21,9 +21,9 @@
 """Minimum time between two pulls, or two reads of the log, of a replica behind."""
 READ_LOG_AFTER = timedelta(milliseconds=600)
 """How long a replica may be behind those of peers before the log itself is read."""
-MOST_RELAYED = 2000
+MAX_RELAYED = 2000
 """Maximum number of records in one answer to a pull."""
-NOT_WHOLE = Position(-1)
+INCOMPLETE = Position(-1)
 """Known position of a topic of which only some keys are known."""
 EMPTY_TOPIC = Position(-2)
 """Known position of a complete topic that was never written to."""
@@ -58,8 +58,8 @@
     """
 
     by_key: dict[str, Record] = field(default_factory=dict)
-    offset: Position = NOT_WHOLE
-    seen: Position = NOT_WHOLE
+    offset: Position = INCOMPLETE
+    seen: Position = INCOMPLETE
     whole: bool = False
     era: int | None = None
     era_since: timedelta = ZERO
@@ -69,7 +69,7 @@
     log_asked_at: timedelta | None = None
 
 
-class Knowledge:
+class Replica:
     """Replica of the shared topics, and how far it is behind those of peers."""
 
     def __init__(self) -> None:
@@ -88,23 +88,23 @@
         state = self._topics[topic]
         state.seen = max(state.seen, offset)
 
-    def told_to(self, topic: Topic) -> Position:
+    def read_after(self, topic: Topic) -> Position:
         """Return the offset after which to read the log; -1 to read all of it."""
         state = self._topics[topic]
-        return state.seen if state.whole else NOT_WHOLE
+        return state.seen if state.whole else INCOMPLETE
 
-    def known_to(self, topic: Topic) -> Position:
+    def known_up_to(self, topic: Topic) -> Position:
         """Return the offset up to which all changes are known here.
 
         `INCOMPLETE` if some keys are missing, `EMPTY_TOPIC` if there are no records.
         """
         state = self._topics[topic]
         if not state.whole:
-            return NOT_WHOLE
+            return INCOMPLETE
         known = min(state.offset, state.seen)
         return EMPTY_TOPIC if known < 0 else known
 
-    def is_whole(self, topic: Topic) -> bool:
+    def is_complete(self, topic: Topic) -> bool:
         """Return whether all keys of a topic are known."""
         return self._topics[topic].whole
 
@@ -137,7 +137,7 @@
 
     def offsets(self) -> dict[str, int]:
         """Return, for each topic, the offset up to which all changes are known here."""
-        return {str(topic): self.known_to(topic) for topic in self._topics}
+        return {str(topic): self.known_up_to(topic) for topic in self._topics}
 
     def is_news(self, topic: Topic, record: Record) -> bool:
         """Return whether a record may be newer than the known one of its key.
@@ -192,7 +192,7 @@
             if record.offset > offset
         ]
         found.sort(key=lambda record: record.offset)
-        return found[:MOST_RELAYED]
+        return found[:MAX_RELAYED]
 
     def note_peer_position(
         self, topic: Topic, peer_offset: Position, now: timedelta
--- a/packages/ashhoist/src/ashhoist/control/residency_feed.py
+++ b/packages/ashhoist/src/ashhoist/control/residency_feed.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ..adapter import Adapter
-from .messages import Holds, HoldsChanged
+from .messages import EngineAdapters, EngineAdaptersChanged
 
 AdapterVersions = dict[Adapter, int]
 
@@ -68,7 +68,7 @@
         self._sent.update(changed)
         receivers = set(self._receivers())
         if rows:
-            message = HoldsChanged(epoch, rows)
+            message = EngineAdaptersChanged(epoch, rows)
             for instance in sorted(receivers & self._up_to_date):
                 self._send(instance, message)
         for instance in sorted(receivers - self._up_to_date):
@@ -77,7 +77,7 @@
 
     def _send_snapshot(self, instance: str, epoch: int) -> None:
         for upstream, held in self._sent.items():
-            self._send(instance, Holds(epoch, upstream, _rows(held)))
+            self._send(instance, EngineAdapters(epoch, upstream, _rows(held)))
 
 
 def _difference(
--- a/packages/ashhoist/src/ashhoist/control/returns.py
+++ b/packages/ashhoist/src/ashhoist/control/restored_upstreams.py
@@ -35,7 +35,7 @@
     noted_at: timedelta
 
 
-class ReturnedUpstreams:
+class RestoredUpstreams:
     """Known ends of records, and held-back records of later eras that may be copies."""
 
     def __init__(self, clock: Clock) -> None:
--- a/packages/ashhoist/src/ashhoist/control/scheduling.py
+++ b/packages/ashhoist/src/ashhoist/control/scheduling.py
@@ -11,22 +11,28 @@
 from ..orders import EngineReport, Order, OrderAnswer
 from ..placement import Residency
 from ..placement.actions import (
-    AskReport,
-    Beginning,
-    Held,
+    DirectSend,
+    FetchReport,
     Placed,
     Refused,
+    RequestQueued,
     SchedulerAction,
-    Serving,
+    ServedAdaptersChanged,
 )
-from ..placement.asks import UseEnd
+from ..placement.messages import RequestOutcome
+from ..placement.pending_requests import PendingRequest
 from ..placement.permits import EnginePermits
 from ..placement.scheduler import Scheduler
-from ..placement.wants import Want
 from ..routing import ServingConfiguration
 from ..upstreams import Directory
-from .messages import Ask, Declined, Granted, Uses, Waits
-from .outside import Outside
+from .effects import Effects
+from .messages import (
+    EngineUses,
+    PlacementDeclined,
+    PlacementGranted,
+    PlacementQuery,
+    PlacementQueued,
+)
 from .residency_feed import ResidencyFeed
 
 MILLISECOND = timedelta(milliseconds=1)
@@ -58,7 +64,7 @@
         directory: Directory,
         permits: EnginePermits,
         residency: Residency,
-        outside: Outside,
+        effects: Effects,
         send: Callable[[str, Any], None],
         linked_hubs: Callable[[], list[str]],
         clock: Clock,
@@ -70,7 +76,7 @@
         self._directory = directory
         self._permits = permits
         self._residency = residency
-        self._outside = outside
+        self._outside = effects
         self._send = send
         self._clock = clock
         self._metrics = metrics
@@ -89,9 +95,9 @@
         return self.scheduler is not None
 
     @property
-    def ordering(self) -> bool:
+    def has_order_in_flight(self) -> bool:
         """Return whether an order of this instance is in progress."""
-        return self.scheduler is not None and self.scheduler.ordering
+        return self.scheduler is not None and self.scheduler.has_order_in_flight
 
     # Start and end
 
@@ -128,7 +134,7 @@
         self.epoch += 1
         self._residency_feed.restart()
         for engine in self.scheduler.engines.values():
-            engine.ask_again(self._clock.monotonic())
+            engine.request_report(self._clock.monotonic())
 
     def set_upstreams(self, configuration: ServingConfiguration | None) -> None:
         """Set the scheduler's engines from the configuration and the directory."""
@@ -143,13 +149,13 @@
 
     # Messages of instances and engines
 
-    def asked(self, instance: str, ask: Ask) -> None:
+    def asked(self, instance: str, ask: PlacementQuery) -> None:
         """Handle a request that waits at an instance."""
         if self.scheduler is None:
             return
         now = self._clock.monotonic()
-        self.scheduler.want(
-            Want(
+        self.scheduler.submit(
+            PendingRequest(
                 ask.id,
                 instance,
                 ask.service,
@@ -163,7 +169,7 @@
                 now + ask.left_ms * MILLISECOND,
                 now + ask.give_up_left_ms * MILLISECOND,
                 ask.zone,
-                ask.may_return,
+                ask.may_retry,
                 frozenset(ask.tried),
             )
         )
@@ -171,29 +177,29 @@
     def withdrawn(self, want_id: str) -> None:
         """Handle the withdrawal of a waiting request."""
         if self.scheduler is not None:
-            self.scheduler.withdraw(want_id)
+            self.scheduler.cancel(want_id)
 
-    def used(self, instance: str, uses: Uses) -> None:
+    def used(self, instance: str, uses: EngineUses) -> None:
         """Handle the beginning, start and end of requests at engines."""
         if self.scheduler is None:
             return
         for use_id, upstream, model, name, tokens in uses.began:
-            beginning = Beginning(upstream, Adapter(model, name), tokens)
-            self.scheduler.began(use_id, instance, beginning)
+            beginning = DirectSend(upstream, Adapter(model, name), tokens)
+            self.scheduler.record_direct_send(use_id, instance, beginning)
         for use_id, upstream in uses.started:
-            self.scheduler.started(upstream, use_id)
+            self.scheduler.record_first_token(upstream, use_id)
         for use_id, upstream, end in uses.ended:
-            self.scheduler.ended(upstream, use_id, UseEnd(end))
+            self.scheduler.record_end(upstream, use_id, RequestOutcome(end))
 
     def answered(self, upstream: str, number: int, answer: OrderAnswer) -> None:
         """Handle the outcome of an order."""
         if self.scheduler is not None:
-            self.scheduler.answered(upstream, number, answer)
+            self.scheduler.order_answered(upstream, number, answer)
 
     def reported(self, upstream: str, report: EngineReport | None) -> None:
         """Handle an engine's report; None if it did not answer."""
         if self.scheduler is not None:
-            self.scheduler.reported(upstream, report)
+            self.scheduler.engine_reported(upstream, report)
 
     def instance_gone(self, instance: str) -> None:
         """Drop the waiting requests of an instance that is no longer linked."""
@@ -201,23 +207,23 @@
         if self.scheduler is not None:
             self.scheduler.instance_gone(instance)
 
-    def plan(self, by_time: bool) -> None:
+    def plan(self, on_timer: bool) -> None:
         """Send the orders and residency updates that are due; see `Scheduler.plan`."""
         if self.scheduler is None:
             return
-        self.scheduler.plan(by_time)
+        self.scheduler.plan(on_timer)
         now = self._clock.monotonic()
         if now - self._state_logged_at >= STATE_LOG_INTERVAL:
             self._state_logged_at = now
-            self.scheduler.tell()
+            self.scheduler.log_state()
         if now - self._residency_sent_at >= RESIDENCY_INTERVAL:
             self._residency_sent_at = now
             self._send_residency()
 
     def _send_residency(self) -> None:
         changed, self._changed_residency = self._changed_residency, {}
-        for upstream, held in changed.items():
-            self._residency.put(self.epoch, upstream, held)
+        for upstream, served in changed.items():
+            self._residency.put(self.epoch, upstream, served)
         self._residency_feed.tell(self.epoch, changed)
 
     # Actions of the scheduler
@@ -225,26 +231,26 @@
     def _carry_out(self, action: SchedulerAction) -> None:
         if isinstance(action, Order):
             self._order(action)
-        elif isinstance(action, AskReport):
+        elif isinstance(action, FetchReport):
             self._outside.report(action)
         elif isinstance(action, Placed):
             self._send_granted(action)
-        elif isinstance(action, Held):
-            self._send(action.want.instance, Waits(action.want.id))
+        elif isinstance(action, RequestQueued):
+            self._send(action.request.instance, PlacementQueued(action.request.id))
         elif isinstance(action, Refused):
             self._send_declined(action)
-        elif isinstance(action, Serving):
-            self._changed_residency[action.upstream] = action.held
+        elif isinstance(action, ServedAdaptersChanged):
+            self._changed_residency[action.upstream] = action.served
 
     def _send_granted(self, action: Placed) -> None:
-        want = action.want
+        request = action.request
         expected = int(action.expected / MILLISECOND)
-        granted = Granted(
-            want.id, action.upstream, action.version, expected, action.permitted
+        granted = PlacementGranted(
+            request.id, action.upstream, action.version, expected, action.permitted
         )
-        self._send(want.instance, granted)
+        self._send(request.instance, granted)
 
     def _send_declined(self, action: Refused) -> None:
-        want = action.want
+        request = action.request
         wait = int(action.retry_after / MILLISECOND)
-        self._send(want.instance, Declined(want.id, action.reason, wait))
+        self._send(request.instance, PlacementDeclined(request.id, action.reason, wait))
--- a/packages/ashhoist/src/ashhoist/control/store_calls.py
+++ b/packages/ashhoist/src/ashhoist/control/store_calls.py
@@ -142,7 +142,9 @@
         self._send(LeaseAppended(action, result))
 
     def lease_call_for(
-        self, message: messages.ReadClaimsFor | messages.AppendClaimFor, respond: Send
+        self,
+        message: messages.ClaimsReadRequest | messages.ClaimAppendRequest,
+        respond: Send,
     ) -> None:
         """Make a call for a lease on behalf of another instance."""
         channel = self._channel(f"other/{message.zone}")
@@ -151,11 +153,11 @@
     def _lease_call_for(
         self,
         channel: _Channel,
-        message: messages.ReadClaimsFor | messages.AppendClaimFor,
+        message: messages.ClaimsReadRequest | messages.ClaimAppendRequest,
         respond: Send,
     ) -> Steps[None]:
         zone = message.zone
-        if isinstance(message, messages.ReadClaimsFor):
+        if isinstance(message, messages.ClaimsReadRequest):
             found = yield from self._read_claims(channel, zone)
             respond(read_answer(message, found))
             return
--- a/packages/ashhoist/src/ashhoist/control/task.py
+++ b/packages/ashhoist/src/ashhoist/control/task.py
@@ -4,29 +4,29 @@
 from datetime import timedelta
 from typing import Any
 
-from ..customers.charges import Charge, ChargeUnanswered, TokensUnused
+from ..customers.charges import Charge, ChargeTimedOut, TokenRefund
 from ..http import Pool
 from ..links import Links, news
 from ..logs import Logger
 from ..loop import Loop
 from ..orders import LeaseAction, Order
-from ..placement.actions import AskReport
-from ..placement.asks import (
+from ..placement.actions import FetchReport
+from ..placement.messages import (
+    FirstEventReceived,
     Lookup,
-    NoLongerWanted,
-    UseBegan,
-    UseEnded,
-    UseStarted,
-    Wanted,
+    PlacementCancelled,
+    PlacementRequest,
+    RequestEnded,
+    RequestSent,
 )
-from ..quarantine import RequestCut, RequestWhole
+from ..quarantine import RequestCompleted, RequestInterrupted
 from ..store import Topic
-from ..store.follower import Followed, FollowerState
+from ..store.follower import FollowedRecords, LogAvailability
 from ..types import Endpoint
-from ..upstreams import NamedLimit, PermitWanted, UpstreamLeaves
+from ..upstreams import PermitRequest, StatedLimit, UpstreamLeaving
 from .core import Core
 from .engines import EngineControl, OrderDone, ReportDone
-from .knowledge import SHARED_TOPICS
+from .replica import SHARED_TOPICS
 from .store_calls import (
     CrashAppended,
     InstancesRead,
@@ -55,7 +55,7 @@
 
 
 class ControlTask:
-    """Owns the core and implements its `Outside`.
+    """Owns the core and implements its `Effects`.
 
     Messages are handled as soon as they are sent; the changes that they make are acted
     on once, at the end of the loop's turn.
@@ -119,9 +119,9 @@
         """Run the core's periodic work, and schedule the next tick."""
         now = self._loop.clock.monotonic()
         self._loop.call_at(now + self._interval(), self._tick)
-        was_reading = self.core.reads_itself
+        was_reading = self.core.is_log_reader
         self.core.tick()
-        if self.core.reads_itself and not was_reading:
+        if self.core.is_log_reader and not was_reading:
             for topic in SHARED_TOPICS:
                 self._read_now(topic)
 
@@ -134,7 +134,7 @@
             return LEADING_TICK
         return IDLE_TICK
 
-    # Implementation of `Outside`
+    # Implementation of `Effects`
 
     def send_to(self, peer: str, message: Any) -> bool:
         """Send a message to an instance; False if there is no link."""
@@ -181,7 +181,7 @@
         """Send an order to an engine."""
         self._engines.order(order)
 
-    def report(self, request: AskReport) -> None:
+    def report(self, request: FetchReport) -> None:
         """Request a report from an engine."""
         self._engines.report(request)
 
@@ -192,12 +192,12 @@
 
     # Messages
 
-    @_handles(Followed)
-    def _followed(self, followed: Followed) -> None:
+    @_handles(FollowedRecords)
+    def _followed(self, followed: FollowedRecords) -> None:
         self.core.followed(followed)
 
-    @_handles(FollowerState)
-    def _follower_state(self, state: FollowerState) -> None:
+    @_handles(LogAvailability)
+    def _follower_state(self, state: LogAvailability) -> None:
         """Ignore: the follower logs it, and the age of the last read is known."""
 
     @_handles(LeaseRead)
@@ -223,73 +223,73 @@
     @_handles(news.PeerMessages)
     def _peer_messages(self, message: news.PeerMessages) -> None:
         for item in message.messages:
-            self.core.peer_message(message.peer, item)
+            self.core.handle_message(message.peer, item)
 
-    @_handles(Wanted)
-    def _wanted(self, message: Wanted) -> None:
-        self.core.agent.wanted(message)
+    @_handles(PlacementRequest)
+    def _wanted(self, message: PlacementRequest) -> None:
+        self.core.placement_client.wanted(message)
 
     @_handles(Lookup)
     def _looked_up(self, message: Lookup) -> None:
         self.core.lookups.ask(message)
 
-    @_handles(NoLongerWanted)
-    def _no_longer_wanted(self, message: NoLongerWanted) -> None:
-        self.core.agent.no_longer_wanted(message)
+    @_handles(PlacementCancelled)
+    def _no_longer_wanted(self, message: PlacementCancelled) -> None:
+        self.core.placement_client.no_longer_wanted(message)
 
-    @_handles(UseBegan)
-    def _use_began(self, message: UseBegan) -> None:
-        self.core.agent.began(message)
+    @_handles(RequestSent)
+    def _use_began(self, message: RequestSent) -> None:
+        self.core.placement_client.began(message)
 
-    @_handles(UseStarted)
-    def _use_started(self, message: UseStarted) -> None:
-        self.core.agent.started(message)
+    @_handles(FirstEventReceived)
+    def _use_started(self, message: FirstEventReceived) -> None:
+        self.core.placement_client.started(message)
 
-    @_handles(UseEnded)
-    def _use_ended(self, message: UseEnded) -> None:
-        self.core.agent.ended(message)
+    @_handles(RequestEnded)
+    def _use_ended(self, message: RequestEnded) -> None:
+        self.core.placement_client.ended(message)
 
     @_handles(Charge)
     def _charge(self, message: Charge) -> None:
         self.core.quotas.charge(message)
 
-    @_handles(ChargeUnanswered)
-    def _charge_unanswered(self, message: ChargeUnanswered) -> None:
+    @_handles(ChargeTimedOut)
+    def _charge_unanswered(self, message: ChargeTimedOut) -> None:
         self.core.quotas.charge_timed_out(message)
 
-    @_handles(TokensUnused)
-    def _tokens_unused(self, message: TokensUnused) -> None:
+    @_handles(TokenRefund)
+    def _tokens_unused(self, message: TokenRefund) -> None:
         self.core.quotas.refund(message)
 
-    @_handles(RequestCut)
-    def _request_cut(self, message: RequestCut) -> None:
-        self.core.crashes.cut(message)
+    @_handles(RequestInterrupted)
+    def _request_cut(self, message: RequestInterrupted) -> None:
+        self.core.crashes.record_crash(message)
 
-    @_handles(RequestWhole)
-    def _request_whole(self, message: RequestWhole) -> None:
-        self.core.crashes.whole(message)
+    @_handles(RequestCompleted)
+    def _request_whole(self, message: RequestCompleted) -> None:
+        self.core.crashes.record_answer(message)
 
     @_handles(CrashAppended)
     def _crash_appended(self, message: CrashAppended) -> None:
         self.core.crashes.appended(message.result)
 
-    @_handles(UpstreamLeaves)
-    def _upstream_leaves(self, message: UpstreamLeaves) -> None:
-        self.core.departures.noticed(message)
+    @_handles(UpstreamLeaving)
+    def _upstream_leaves(self, message: UpstreamLeaving) -> None:
+        self.core.departure_notices.noticed(message)
 
-    @_handles(NamedLimit)
-    def _limit_named(self, message: NamedLimit) -> None:
+    @_handles(StatedLimit)
+    def _limit_named(self, message: StatedLimit) -> None:
         self.core.limit_notices.noticed(message)
 
-    @_handles(PermitWanted)
-    def _permit_wanted(self, message: PermitWanted) -> None:
+    @_handles(PermitRequest)
+    def _permit_wanted(self, message: PermitRequest) -> None:
         self.core.permits.ask(message)
 
     @_handles(OrderDone)
     def _order_done(self, message: OrderDone) -> None:
         upstream, reply = message.order.upstream, message.reply
         self.core.order_answered(message.order, reply.answer)
-        if reply.leaves:
+        if reply.leaving:
             self.core.engine_leaves(upstream)
         self.core.engine_limited(upstream, reply.limit, message.sent_at)
 
--- a/packages/ashhoist/src/ashhoist/customers/__init__.py
+++ b/packages/ashhoist/src/ashhoist/customers/__init__.py
@@ -1,7 +1,7 @@
-"""Customers: their keys, how long these may be trusted, and their quotas."""
+"""Customers: their keys, how long known keys stay valid, and their quotas."""
 
 from .allowance import Allowances, Standing
-from .customer import Customer, CustomerTable, Quota, QuotaUnit, digest, shown
+from .customer import Customer, CustomerTable, Quota, QuotaUnit, digest, short_digest
 from .granter import Grant, Granter, QuotaBounds
 from .proof import Proof
 
@@ -17,5 +17,5 @@
     "QuotaUnit",
     "Standing",
     "digest",
-    "shown",
+    "short_digest",
 ]
--- a/packages/ashhoist/src/ashhoist/customers/allowance.py
+++ b/packages/ashhoist/src/ashhoist/customers/allowance.py
@@ -1,30 +1,34 @@
-"""What one instance may still spend for each customer without asking.
-
-Tokens come from the leader, a little more than the request that asks needs. While the
-leader does not answer, for about a second until another one leads, an instance goes on
-by itself. A customer that was close to its limit gets what it had here: that part of
-the quota that this instance had of all that was spent. Any other one gets an equal part
-if that is more, and one request at once: its clients may call wherever they like, and
-what a window may have of it is far from used. Where no leader has spoken for longer, an
-instance has left its share to nobody, and spends that.
+"""Quota tokens that this instance may spend for each customer without asking.
+
+The leader grants the tokens, a few more than the requesting call needs. If the leader
+does not respond, which lasts about a second until another one is elected, the instance
+spends on its own. A customer that was close to its limit gets the part of its quota
+that corresponds to this instance's part of its recent spending. Any other customer gets
+an equal part if that is more, and at least one request at once: its clients may call
+any instance, and it has spent far less than a window allows. If no leader has been
+heard for longer, the instance's share is delegated to no other instance, so it spends
+its own share.
 """
 
 from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import Enum, auto
 
-from ..rates import LEFT_FOR, Bucket, Pace
+from ..rates import SHARE_DELEGATION_TIME, Bucket, RateMeter
 from .customer import Quota
-from .granter import Use
+from .granter import QuotaUse
 
-KEPT_FOR = timedelta(seconds=1)
-"""Tokens that were not spent by then go back to whoever granted them."""
-AHEAD = timedelta(milliseconds=500)
-"""An instance asks for what it will likely need within so long."""
+UNUSED_TOKENS_KEPT_FOR = timedelta(seconds=1)
+"""Granted tokens that are not spent within this time are returned to the granter."""
+PREFETCH_PERIOD = timedelta(milliseconds=500)
+"""An instance requests the tokens that it will probably need within this period."""
 
 
 class Standing(Enum):
-    """How close to its limit a customer is, as far as an instance was told."""
+    """How close to its limit a customer is, as last reported by the leader.
+
+    `TIGHT` means close to it; `UNKNOWN` that there is no recent report.
+    """
 
     UNKNOWN = auto()
     BELOW = auto()
@@ -33,82 +37,84 @@
 
 @dataclass(slots=True)
 class _Account:
-    """One customer's tokens here.
+    """One customer's tokens at this instance.
 
     Parameters
     ----------
     use : Use
-        How much of the quota was in use, as the leader last said.
-    pace : Pace
-        At which granted tokens are spent.
-    alone : Bucket or None
-        What is spent without the leader.
+        How much of the quota is in use, as last reported by the leader.
+    pace : RateMeter
+        The recent rate at which granted tokens are spent.
+    local_bucket : Bucket or None
+        The tokens that are spent without the leader; None until the first is.
     """
 
     tokens: float = 0.0
     granted_at: timedelta = timedelta()
-    use: Use = field(default_factory=Use)
-    pace: Pace = field(default_factory=Pace)
-    alone: Bucket | None = None
+    use: QuotaUse = field(default_factory=QuotaUse)
+    spend_meter: RateMeter = field(default_factory=RateMeter)
+    local_bucket: Bucket | None = None
 
 
 class Allowances:
-    """The tokens of all customers that are spent at one instance."""
+    """The tokens of all customers that this instance may spend."""
 
     def __init__(self) -> None:
         self._by_customer: dict[str, _Account] = {}
 
     def spend(self, customer: str, tokens: float, now: timedelta) -> bool:
-        """Spend tokens that were granted, if there are enough."""
+        """Spend granted tokens; return False if there are too few."""
         account = self._by_customer.setdefault(customer, _Account())
         if account.tokens < tokens:
             return False
         account.tokens -= tokens
-        account.pace.note(tokens, now)
+        account.spend_meter.record(tokens, now)
         return True
 
-    def granted(self, customer: str, tokens: float, use: Use, now: timedelta) -> None:
-        """Take in tokens that were granted."""
+    def granted(
+        self, customer: str, tokens: float, use: QuotaUse, now: timedelta
+    ) -> None:
+        """Add tokens that the leader has granted."""
         account = self._by_customer.setdefault(customer, _Account())
         account.tokens += tokens
         account.granted_at = now
         account.use = use
 
-    def ahead(self, customer: str, now: timedelta) -> float:
-        """Return what the next requests of a customer will likely need here."""
+    def expected_need(self, customer: str, now: timedelta) -> float:
+        """Estimate the tokens that a customer's next requests here will need."""
         account = self._by_customer.get(customer)
         if account is None:
             return 0.0
-        return account.pace.of(now) * AHEAD.total_seconds()
+        return account.spend_meter.per_second(now) * PREFETCH_PERIOD.total_seconds()
 
-    def put_back(self, customer: str, tokens: float, now: timedelta) -> None:
-        """Take back what a request has not used after all.
+    def refund_tokens(self, customer: str, tokens: float, now: timedelta) -> None:
+        """Refund the tokens of a request that did not use them.
 
-        It may be spent by another request here, or goes back with what is left over.
+        Another request here may spend them; otherwise `left_over` returns them.
         """
         account = self._by_customer.setdefault(customer, _Account())
         account.tokens += tokens
-        account.pace.note(-tokens, now)
+        account.spend_meter.record(-tokens, now)
 
-    def left_over(self, now: timedelta) -> dict[str, float]:
-        """Return, and forget, tokens that were not spent for a while, by customer."""
-        found: dict[str, float] = {}
+    def take_unused(self, now: timedelta) -> dict[str, float]:
+        """Remove and return tokens that were not spent for a while, by customer."""
+        unused: dict[str, float] = {}
         for customer, account in list(self._by_customer.items()):
-            if now - account.granted_at < KEPT_FOR:
+            if now - account.granted_at < UNUSED_TOKENS_KEPT_FOR:
                 continue
             if account.tokens > 0:
-                found[customer] = account.tokens
+                unused[customer] = account.tokens
                 account.tokens = 0.0
-            if account.alone is None and not account.pace.of(now):
+            if account.local_bucket is None and not account.spend_meter.per_second(now):
                 del self._by_customer[customer]
-        return found
+        return unused
 
-    def forget_granted(self) -> None:
-        """Forget what was granted by one that grants no more."""
+    def discard_granted(self) -> None:
+        """Discard the tokens granted by a former leader."""
         for account in self._by_customer.values():
             account.tokens = 0.0
 
-    def spend_alone(
+    def spend_locally(
         self,
         customer: str,
         quota: Quota,
@@ -117,39 +123,44 @@
         standing: Standing,
         now: timedelta,
     ) -> timedelta | None:
-        """Spend tokens without the leader; return None, or the time to wait.
+        """Spend tokens without the leader; return None if spent, or the time to wait.
 
         Parameters
         ----------
         instances : int
-            How many instances there are, this one included.
+            The number of instances, including this one.
         standing : Standing
-            Of the customer, when the leader was last heard.
+            The customer's standing when the leader was last heard.
         """
         account = self._by_customer.setdefault(customer, _Account())
-        rate, burst = _part(account.pace.of(now), account.use, quota)
+        rate, burst = _local_quota(
+            account.spend_meter.per_second(now), account.use, quota
+        )
         if standing is not Standing.TIGHT:
             rate = max(rate, quota.rate / max(instances, 1))
             burst = min(max(burst, quota.burst / max(instances, 1)), tokens)
-        if account.alone is None:
-            level = _first_level(standing, burst, tokens)
-            account.alone = Bucket(rate, burst, level, now)
-        account.alone.resize(rate, burst, now)
-        if rate > 0 and account.alone.take(tokens, now):
+        if account.local_bucket is None:
+            level = _initial_level(standing, burst, tokens)
+            account.local_bucket = Bucket(rate, burst, level, now)
+        account.local_bucket.resize(rate, burst, now)
+        if rate > 0 and account.local_bucket.take(tokens, now):
             return None
-        return account.alone.wait(tokens, now) or LEFT_FOR
+        return account.local_bucket.wait(tokens, now) or SHARE_DELEGATION_TIME
 
 
-def _first_level(standing: Standing, burst: float, tokens: float) -> float:
-    """Return what is there when an instance begins to spend by itself."""
+def _initial_level(standing: Standing, burst: float, tokens: float) -> float:
+    """Return a bucket's level when an instance starts to spend without the leader."""
     if standing is not Standing.TIGHT:
         return burst
-    # Of requests that come one by one, the first would always be more than this
-    # instance's part: half a request less is even.
+    # When requests arrive one at a time, the first one always exceeds this instance's
+    # part. Starting half a request lower compensates for that on average.
     return burst - tokens / 2
 
 
-def _part(pace: float, use: Use, quota: Quota) -> tuple[float, float]:
-    """Return the rate and burst that belong to a part of all that is spent."""
-    part = pace / max(use.rate * quota.rate, pace, 1e-9)
-    return quota.rate * part, quota.burst * use.spare * part
+def _local_quota(spend_rate: float, use: QuotaUse, quota: Quota) -> tuple[float, float]:
+    """Return the rate and burst for an instance that spends at the given rate.
+
+    They are in proportion to its part of the customer's spending at all instances.
+    """
+    fraction = spend_rate / max(use.rate * quota.rate, spend_rate, 1e-9)
+    return quota.rate * fraction, quota.burst * use.spare * fraction
--- a/packages/ashhoist/src/ashhoist/customers/charges.py
+++ b/packages/ashhoist/src/ashhoist/customers/charges.py
@@ -1,4 +1,4 @@
-"""What requests and the control task tell each other of customers' quotas."""
+"""Messages between request tasks and the control task about customers' quotas."""
 
 from concurrent.futures import Future
 from dataclasses import dataclass, field
@@ -6,17 +6,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Charged:
-    """How a charge ended.
+class ChargeResult:
+    """The result of a charge.
 
     Parameters
     ----------
     spent : bool
-        Whether the request may run.
+        Whether the tokens were spent, so that the request may run.
     over_quota : bool
-        Whether it may not because the quota is used up; else it is not known whether.
+        Whether the request is refused because the quota is used up. If both are false
+        it is not known whether it is.
     wait : timedelta or None
-        When it is worth coming back.
+        After what time to retry; None if not known.
     """
 
     spent: bool
@@ -31,34 +32,36 @@
     Parameters
     ----------
     tokens : float
-        In the quota's unit.
+        The amount to charge, in the quota's unit.
+    answer : Future
+        Receives the result.
     """
 
     customer: str
     tokens: float
-    answer: "Future[Charged]" = field(default_factory=Future)
+    answer: "Future[ChargeResult]" = field(default_factory=Future)
 
     @property
     def settled(self) -> bool:
-        """Return whether it has ended."""
+        """Return whether the charge has a result."""
         return self.answer.done()
 
-    def settle(self, charged: Charged) -> None:
-        """End it, unless it has ended before."""
+    def settle(self, charged: ChargeResult) -> None:
+        """Set the result, unless there already is one."""
         if not self.answer.done():
             self.answer.set_result(charged)
 
 
 @dataclass(frozen=True, slots=True)
-class ChargeUnanswered:
-    """A charge can wait no longer for whoever grants tokens."""
+class ChargeTimedOut:
+    """The request of a charge can't wait any longer for the leader's grant."""
 
     charge: Charge
 
 
 @dataclass(frozen=True, slots=True)
-class TokensUnused:
-    """A request that was charged has not run."""
+class TokenRefund:
+    """A charged request did not run; its tokens are refunded."""
 
     customer: str
     tokens: float
--- a/packages/ashhoist/src/ashhoist/customers/customer.py
+++ b/packages/ashhoist/src/ashhoist/customers/customer.py
@@ -1,9 +1,9 @@
-"""Customers: who may call, with which keys, how urgently and how much.
+"""Customers: their keys, priorities and quotas.
 
-Keys are kept as digests only, so that no log line, metric or dump of this process can
-show one. They are looked up by a digest under a secret of this process: what a lookup
-takes says nothing of a key, as nobody outside can choose digests, and it costs the same
-with sixteen customers as with thousands.
+Keys are stored only as digests, so that no log line, metric or memory dump of this
+process can reveal one. The digests are keyed with a secret of this process: the time
+that a lookup takes reveals nothing about a key, as nobody outside can choose digests.
+A lookup costs the same with sixteen customers as with thousands.
 """
 
 import hashlib
@@ -13,14 +13,14 @@
 from enum import StrEnum
 
 SECRET = secrets.token_bytes(32)
-"""Known to this process only; a digest means nothing elsewhere."""
+"""Known to this process only, so its digests can't be used in any other process."""
 DIGEST_BYTES = 16
-SHOWN_BYTES = 4
-"""Of a digest, in log lines that must tell keys apart."""
+SHORT_DIGEST_BYTES = 4
+"""Length of the part of a digest that identifies a key in log lines."""
 
 
 class QuotaUnit(StrEnum):
-    """What a customer's quota counts."""
+    """The unit in which a customer's quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """How much a customer may ask for, over all instances together.
+    """How much a customer may request, at all instances together.
 
     Parameters
     ----------
     rate : float
-        Units a second.
+        Units per second.
     burst : float
-        Units that may be asked for at once, above the rate.
+        Units that may be requested at once, in addition to the rate.
     plain_tokens : float
-        What a request counts that names no tokens.
+        Tokens charged for a request that declares no token count.
     """
 
     rate: float
@@ -46,12 +46,13 @@
     plain_tokens: float = 1.0
 
     def charge(self, tokens: int) -> float:
-        """Return what a request counts, in this quota's unit.
+        """Return the charge for a request, in this quota's unit.
 
         Parameters
         ----------
         tokens : int
-            Of its prompt and most of its answer; 0 if it names none.
+            Tokens of the prompt, plus the maximum for the answer; 0 if the request
+            declares none.
         """
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
@@ -67,9 +68,9 @@
     keys : frozenset of bytes
         Digests of its keys; see `digest`.
     priority : int
-        0 is the most urgent. It goes before a route's.
+        0 is the most urgent. It takes precedence over a route's priority.
     quota : Quota or None
-        None if it may ask for any amount.
+        None if requests are not limited.
     """
 
     name: str
@@ -79,12 +80,12 @@
 
 
 class CustomerTable:
-    """The customers of one configuration, made for looking up.
+    """The customers of one configuration, by name and by key digest.
 
     Raises
     ------
     ValueError
-        If two have the same name, or the same key.
+        If two customers have the same name or share a key.
     """
 
     def __init__(self, customers: Iterable[Customer] = ()) -> None:
@@ -95,7 +96,7 @@
 
     def _add(self, customer: Customer) -> None:
         if customer.name in self.by_name:
-            raise ValueError(f"customers: {customer.name!r} stands twice")
+            raise ValueError(f"customers: {customer.name!r} is defined twice")
         self.by_name[customer.name] = customer
         for key in customer.keys:
             other = self._by_digest.setdefault(key, customer)
@@ -107,16 +108,16 @@
         return bool(self.by_name)
 
     def find(self, key: bytes) -> Customer | None:
-        """Return the customer whose key has a digest, or None."""
+        """Return the customer whose key has the given digest, or None."""
         return self._by_digest.get(key)
 
 
 def digest(key: str) -> bytes:
-    """Return what stands for a key in this process."""
+    """Return the digest of a key, which is valid in this process only."""
     data = key.encode("utf-8", "surrogatepass")
     return hashlib.blake2b(data, key=SECRET, digest_size=DIGEST_BYTES).digest()
 
 
-def shown(key: bytes) -> str:
-    """Return a short text that tells keys apart in the logs of one process."""
-    return key[:SHOWN_BYTES].hex()
+def short_digest(key: bytes) -> str:
+    """Return a short text that identifies a key in the logs of one process."""
+    return key[:SHORT_DIGEST_BYTES].hex()
--- a/packages/ashhoist/src/ashhoist/customers/granter.py
+++ b/packages/ashhoist/src/ashhoist/customers/granter.py
@@ -1,53 +1,55 @@
-"""Grants customers' tokens, for all instances that leave their share to it.
+"""Grants customers' quota tokens to all instances that delegate their share.
 
-The leader grants from the shares that were left to it, to whoever needs tokens; see
-`rates.shares` for why that never adds up to more than the whole.
+The leader grants tokens, from the shares delegated to it, to any instance that needs
+them; see `rates.shares` for why the grants never add up to more than the quota.
 """
 
 import math
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ..rates import Bucket, Pace, Shares
+from ..rates import Bucket, DelegatedShares, RateMeter
 from .customer import Quota
 
 TIGHT_BELOW = 0.25
-"""Of its burst: a customer that has less left is told to all as close to its limit."""
-EXTRA_PART = 0.5
-"""Of what a bucket holds for each instance, that one may be granted beyond its need."""
+"""Fraction of its burst: a customer with fewer tokens available is reported to all
+instances as close to its limit."""
+MAX_EXTRA_FRACTION = 0.5
+"""How much an instance may be granted beyond its need, as a fraction of its equal part
+of the tokens that are available."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """By how much a quota may be passed.
+    """By how much a quota may be exceeded.
 
     Parameters
     ----------
     window : timedelta
-        What is spent is counted over any span of this length.
+        Spending is counted over any period of this length.
     overage : float
-        Above rate times window and burst, as a share of these.
+        Maximum excess over a window, as a fraction of rate times window plus burst.
     """
 
     window: timedelta = timedelta(seconds=8)
     overage: float = 0.1
 
     def spare(self, quota: Quota) -> float:
-        """Return the units by which a window may be passed."""
-        whole = quota.rate * self.window.total_seconds() + quota.burst
-        return whole * self.overage
+        """Return the units by which spending in a window may exceed the quota."""
+        allowed = quota.rate * self.window.total_seconds() + quota.burst
+        return allowed * self.overage
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class QuotaUse:
     """How much of a quota is in use.
 
     Parameters
     ----------
     rate : float
-        Of its rate, what was granted of late.
+        The fraction of its rate that was granted recently.
     spare : float
-        Of its burst, what could be granted at once.
+        The fraction of its burst that is available at once.
     """
 
     rate: float = 1.0
@@ -56,59 +58,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What was granted; nothing if `tokens` is 0.
+    """The tokens granted to an instance; 0 if the request for them is refused.
 
     Parameters
     ----------
     wait : timedelta or None
-        When to ask again; None if nothing is known of that.
+        After what time to ask again; None if that is not known.
     """
 
     tokens: float
     wait: timedelta | None = timedelta()
-    use: Use = Use()
+    use: QuotaUse = QuotaUse()
 
 
 @dataclass(slots=True)
 class _Account:
-    """One customer's tokens, as far as they are granted from here.
+    """One customer's tokens that this instance grants.
 
     Parameters
     ----------
+    bucket : Bucket
+        The tokens that are available.
+    pace : RateMeter
+        The recent rate at which tokens are granted.
     share : float
-        The largest share of the quota that was left here so far.
+        The largest share of the quota that this instance has granted from so far.
     """
 
     bucket: Bucket
-    pace: Pace
+    grant_meter: RateMeter
     share: float
 
 
 class Granter:
-    """The tokens of all customers, as far as shares were left here.
+    """The tokens of all customers that this instance grants.
+
+    It grants from its own share and from those that are delegated to it.
 
     Parameters
     ----------
     own : str
-        This instance's name; its own share is always here.
+        This instance's name.
     """
 
     def __init__(self, own: str, bounds: QuotaBounds) -> None:
         self._own = own
         self._bounds = bounds
-        self._shares = Shares()
+        self._shares = DelegatedShares()
         self._accounts: dict[str, _Account] = {}
 
-    def left(self, instance: str, told_at: timedelta) -> None:
-        """Take in that an instance leaves its share here; see `Shares.left`."""
-        self._shares.left(instance, told_at)
+    def left(self, instance: str, acknowledged_time: timedelta) -> None:
+        """Record an instance's delegated share; see `DelegatedShares.delegate`."""
+        self._shares.delegate(instance, acknowledged_time)
 
     def share(self, instances: int, now: timedelta) -> float:
-        """Return which share of every quota is granted from here."""
+        """Return the fraction of every quota that this instance may grant from."""
         return self._shares.share(instances, now)
 
     def is_alone(self, instances: int, now: timedelta) -> bool:
-        """Return whether no other instance leaves its share here."""
+        """Return whether there are other instances but none delegates its share."""
         return self._shares.is_alone(instances, now)
 
     def grant(
@@ -120,65 +128,66 @@
         instances: int,
         now: timedelta,
     ) -> Grant:
-        """Return what an instance may spend for a customer.
+        """Grant an instance tokens of a customer.
 
         Parameters
         ----------
         needed : float
-            For the request that asks.
+            Tokens needed by the request that is waiting.
         extra : float
-            What the next requests there will likely need.
+            Estimate of what the following requests there will need.
         """
         account = self._account(customer, quota, instances, now)
         bucket = account.bucket
         if not bucket.take(needed, now):
             return Grant(0.0, bucket.wait(needed, now))
-        plenty = bucket.spare(now) * EXTRA_PART / max(instances, 1)
-        more = math.floor(min(extra, plenty))
+        max_extra = bucket.spare(now) * MAX_EXTRA_FRACTION / max(instances, 1)
+        granted_extra = math.floor(min(extra, max_extra))
         granted = needed
-        if more > 0 and bucket.take(more, now):
-            granted += more
-        account.pace.note(granted, now)
+        if granted_extra > 0 and bucket.take(granted_extra, now):
+            granted += granted_extra
+        account.grant_meter.record(granted, now)
         return Grant(granted, use=self._use(account, now))
 
-    def _use(self, account: _Account, now: timedelta) -> Use:
+    def _use(self, account: _Account, now: timedelta) -> QuotaUse:
         bucket = account.bucket
-        rate = account.pace.of(now) / bucket.rate
+        rate = account.grant_meter.per_second(now) / bucket.rate
         spare = bucket.spare(now) / bucket.burst if bucket.burst else 0.0
-        return Use(min(rate, 1.0), spare)
+        return QuotaUse(min(rate, 1.0), spare)
 
     def tight(self, now: timedelta) -> list[str]:
         """Return the customers that are close to their limit."""
-        found = []
+        tight = []
         for customer, account in self._accounts.items():
             bucket = account.bucket
             if bucket.spare(now) < bucket.burst * TIGHT_BELOW:
-                found.append(customer)
-        return found
+                tight.append(customer)
+        return tight
 
     def give_back(self, customer: str, tokens: float, now: timedelta) -> None:
-        """Take back what was granted and not spent."""
+        """Return granted tokens that were not spent to the quota."""
         account = self._accounts.get(customer)
         if account is not None:
             account.bucket.give_back(tokens, now)
-            account.pace.note(-tokens, now)
+            account.grant_meter.record(-tokens, now)
 
     def _account(
         self, customer: str, quota: Quota, instances: int, now: timedelta
     ) -> _Account:
-        """Return a customer's tokens, as many as what was left here allows."""
+        """Return a customer's account, sized for the current share."""
         share = self.share(instances, now)
         rate, burst = quota.rate * share, quota.burst * share
         account = self._accounts.get(customer)
         if account is None:
-            account = _Account(Bucket(rate, burst, 0.0, now), Pace(), 0.0)
+            account = _Account(Bucket(rate, burst, 0.0, now), RateMeter(), 0.0)
             self._accounts[customer] = account
         account.bucket.resize(rate, burst, now)
         if share > account.share:
-            # What was granted before this instance led is not known. A third of what a
-            # window may be passed by is granted: some changes in one window, and what
-            # instances spend by themselves meanwhile, stay within.
-            begins_with = min(self._bounds.spare(quota) / 3, quota.burst)
-            account.bucket.give_back(begins_with * (share - account.share), now)
+            # It is not known what was granted before this instance became the leader.
+            # The bucket starts with a third of the allowed overage of a window, so that
+            # several changes of leader in one window, and what instances spend without
+            # a leader meanwhile, stay within the overage.
+            initial = min(self._bounds.spare(quota) / 3, quota.burst)
+            account.bucket.give_back(initial * (share - account.share), now)
             account.share = share
         return account
--- a/packages/ashhoist/src/ashhoist/customers/proof.py
+++ b/packages/ashhoist/src/ashhoist/customers/proof.py
@@ -1,29 +1,30 @@
-"""How long this instance may act on the keys that it knows.
+"""Proof that the known configuration is recent enough to accept keys.
 
-A key may be taken away while this instance is cut off, frozen, or served by a log that
-answers only some. So knowing the configuration is a lease: keys are accepted while it
-can be shown that what is known here was the newest less than a bound ago.
+A key may be revoked while this instance is partitioned or frozen, or while the log
+responds to some instances only. Knowledge of the configuration is therefore treated
+like a lease: keys are accepted only while there is proof that the known configuration
+was the newest one less than a bound ago.
 
-All times are moments of this instance's steady clock, counted from before the question
-whose answer shows it: an answer that lay in a buffer while the process was frozen is as
-old as its question.
+All times are on this instance's monotonic clock, and from before the request was sent
+whose response is the proof: a response that lay in a buffer while the process was
+frozen is as old as its request.
 """
 
 from datetime import timedelta
 
 SEND_MARGIN = timedelta(milliseconds=200)
-"""From the check of a key until its request is with the upstream: a turn of the event
-loop, and a connection to an upstream that takes its time."""
+"""Time allowed from the check of a key until its request reaches the upstream: one turn
+of the event loop, and a slow connection to the upstream."""
 
 
 class Proof:
-    """Since when it is not known whether the configuration is the newest.
+    """The latest time at which the known configuration was proved to be the newest.
 
     Parameters
     ----------
     bound : timedelta or None
-        A key that was taken away may be accepted for so long; None if there is no
-        such promise, so that the newest configuration known here always does.
+        How long a revoked key may still be accepted. None if there is no such bound:
+        then the newest configuration known here is used without proof.
     """
 
     def __init__(self, bound: timedelta | None = None) -> None:
@@ -32,19 +33,19 @@
 
     @property
     def needed(self) -> bool:
-        """Return whether keys are accepted only while there is proof."""
+        """Return whether keys are accepted only with recent proof."""
         return self.bound is not None
 
     def prove(self, at: timedelta) -> None:
-        """Take in that the configuration known here was the newest at a moment."""
+        """Record that the known configuration was the newest at the given time."""
         if self.proved_at is None or at > self.proved_at:
             self.proved_at = at
 
     def age(self, now: timedelta) -> timedelta | None:
-        """Return how old the newest proof is, or None if there never was one."""
+        """Return the age of the latest proof, or None if there never was any."""
         return None if self.proved_at is None else now - self.proved_at
 
-    def holds(self, now: timedelta) -> bool:
+    def is_recent(self, now: timedelta) -> bool:
         """Return whether keys may be accepted now."""
         if self.bound is None:
             return True
@@ -52,12 +53,12 @@
         return age is not None and age < self.bound - SEND_MARGIN
 
     def shows_absence(self, now: timedelta, known_within: timedelta) -> bool:
-        """Return whether a key that is not known here is in force nowhere.
+        """Return whether a key that is not known here is valid at no instance.
 
         Parameters
         ----------
         known_within : timedelta
-            Within so long a new key has to be accepted everywhere.
+            The time within which every instance has to accept a new key.
         """
         if self.bound is None:
             return True
--- a/packages/ashhoist/src/ashhoist/orders/lease.py
+++ b/packages/ashhoist/src/ashhoist/orders/lease.py
@@ -93,11 +93,11 @@
 
     key: str
     holder: str
-    life: str
+    incarnation: str
     fence: int = -1
     offset: int = -1
     released: bool = False
-    before: tuple[str, ...] = ()
+    previous_holders: tuple[str, ...] = ()
     era: int = 0
 
     @property
@@ -110,7 +110,13 @@
 
         Instances of the previous version can only read records without an era.
         """
-        row = [self.holder, self.life, self.fence, self.released, self.before]
+        row = [
+            self.holder,
+            self.incarnation,
+            self.fence,
+            self.released,
+            self.previous_holders,
+        ]
         return cbor2.dumps([*row, self.era] if self.era else row)
 
     def to_row(self) -> list[object]:
@@ -118,11 +124,11 @@
         return [
             self.key,
             self.holder,
-            self.life,
+            self.incarnation,
             self.fence,
             self.offset,
             self.released,
-            self.before,
+            self.previous_holders,
         ]
 
     @classmethod
@@ -130,11 +136,19 @@
         """Return the claim stored in a record, or None if the record is malformed."""
         try:
             fields = cbor2.loads(record.value or b"")
-            holder, life, fence, released, before, *rest = fields
+            holder, incarnation, fence, released, previous_holders, *rest = fields
             era = min(rest[0] if rest else 0, era_of(record.offset))
             offset = position(era, offset_of(record.offset))
             return cls.from_row(
-                (record.key, holder, life, fence, offset, released, before)
+                (
+                    record.key,
+                    holder,
+                    incarnation,
+                    fence,
+                    offset,
+                    released,
+                    previous_holders,
+                )
             )
         except (ValueError, TypeError, cbor2.CBORDecodeError):
             return None
@@ -146,10 +160,14 @@
         Instances of the previous version send a single previous holder as a string,
         or an empty string if there is none.
         """
-        key, holder, life, fence, offset, released, before = row
-        names = [before] if isinstance(before, str) else before
+        key, holder, incarnation, fence, offset, released, previous_holders = row
+        names = (
+            [previous_holders]
+            if isinstance(previous_holders, str)
+            else previous_holders
+        )
         previous = tuple(name for name in names if name)
-        return cls(key, holder, life, fence, offset, released, previous)
+        return cls(key, holder, incarnation, fence, offset, released, previous)
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,7 +193,7 @@
     """State machine of one lease, as seen by one instance.
 
     It performs no I/O: `due` returns the store call to make, and the result is passed
-    to `read` or `appended`. At most one store call is outstanding at a time.
+    to `claims_read` or `appended`. At most one store call is outstanding at a time.
 
     Parameters
     ----------
@@ -188,11 +206,11 @@
     """
 
     def __init__(
-        self, key: str, holder: str, life: str, timing: LeaseTiming, clock: Clock
+        self, key: str, holder: str, incarnation: str, timing: LeaseTiming, clock: Clock
     ) -> None:
         self.key = key
         self._holder = holder
-        self._life = life
+        self._incarnation = incarnation
         self._timing = timing
         self._clock = clock
         self._claim: Claim | None = None
@@ -252,7 +270,7 @@
         return not claim.released and self._clock.monotonic() < ends
 
     def _is_own(self, claim: Claim) -> bool:
-        return claim.holder == self._holder and claim.life == self._life
+        return claim.holder == self._holder and claim.incarnation == self._incarnation
 
     def set_rank(self, rank: int) -> None:
         """Set how many instances have precedence over this one in claiming.
@@ -261,11 +279,11 @@
         """
         self._rank = rank
 
-    def refused(self, token: int) -> None:
+    def reject_token(self, token: int) -> None:
         """Handle the rejection of a token by an engine that has seen a higher one."""
         self._refused_token = token
 
-    def rest(self) -> None:
+    def stop_orders(self) -> None:
         """Stop permitting orders, but keep renewing the lease."""
         self._orders_blocked = True
 
@@ -276,7 +294,7 @@
 
     @property
     def released(self) -> bool:
-        """Return whether this process does not hold the lease, or no longer does."""
+        """Return whether there is nothing to release: the lease is not held here."""
         return not self.held
 
     # Next action
@@ -351,24 +369,28 @@
             return self._first_claim()
         if claim.token == self._refused_token or self._is_from_earlier_era(claim):
             return self._first_claim()
-        return replace(self._renewal(), life=self._life)
+        return replace(self._renewal(), incarnation=self._incarnation)
 
     def _first_claim(self) -> Claim:
         claim = self._claim
         if claim is None:
-            return Claim(self.key, self._holder, self._life)
-        previous = dict.fromkeys((claim.holder, *claim.before))
-        return Claim(self.key, self._holder, self._life, before=tuple(previous))
+            return Claim(self.key, self._holder, self._incarnation)
+        previous = dict.fromkeys((claim.holder, *claim.previous_holders))
+        return Claim(
+            self.key, self._holder, self._incarnation, previous_holders=tuple(previous)
+        )
 
     def _renewal(self, released: bool = False) -> Claim:
         claim = self._claim
         assert claim is not None
-        before = () if self._interval_has_passed(claim) else claim.before
+        previous_holders = (
+            () if self._interval_has_passed(claim) else claim.previous_holders
+        )
         return replace(
             claim,
             fence=claim.token,
             released=released,
-            before=before,
+            previous_holders=previous_holders,
         )
 
     def _interval_has_passed(self, claim: Claim) -> bool:
@@ -384,7 +406,7 @@
 
     # Results and claims from other instances
 
-    def read(self, result: Newest | Unavailable) -> None:
+    def claims_read(self, result: Newest | Unavailable) -> None:
         """Handle the result of `ReadClaims`."""
         self._pending = False
         now = self._clock.monotonic()
@@ -432,7 +454,7 @@
         self._claim = claim
         self._claim_known_since = now
 
-    def heard(self, claim: Claim) -> None:
+    def receive_claim(self, claim: Claim) -> None:
         """Handle a claim received from another instance."""
         now = self._clock.monotonic()
         if self._is_own(claim):
@@ -484,7 +506,7 @@
         self._active_token = claim.token
         self._interval_over_at = now + self._timing.return_interval
         if was_refused and self._refused_token is not None:
-            # The successor that the engine obeyed may have sent an order just now.
+            # The instance with the higher token may have sent an order just now.
             self._orders_allowed_from = self._interval_over_at
             return
         self._orders_allowed_from = max(now, self._return_wait_until(claim))
@@ -496,7 +518,7 @@
         `send_margin`, the time for which this machine's own last order may still be in
         transit.
         """
-        if self._holder not in claim.before:
+        if self._holder not in claim.previous_holders:
             return ZERO
         return (
             self._last_order_at
--- a/packages/ashhoist/src/ashhoist/orders/order.py
+++ b/packages/ashhoist/src/ashhoist/orders/order.py
@@ -55,7 +55,7 @@
 
     ACCEPTED = "accepted"
     """The engine has started to execute the order."""
-    HOLDS = "holds"
+    ALREADY_DONE = "holds"
     """The engine is already in the requested state."""
     CONFLICT = "conflict"
     """Not executed: the order count differs, or the engine has too many operations in
@@ -77,14 +77,14 @@
 
     Parameters
     ----------
-    leaves : bool
+    leaving : bool
         Whether the engine has announced that it is shutting down.
     limit : float or None
         The engine's rate limit in requests per second; None if it stated none.
     """
 
     answer: OrderAnswer
-    leaves: bool = False
+    leaving: bool = False
     limit: float | None = None
 
 
@@ -98,12 +98,12 @@
         How many orders the engine has accepted.
     models, model_copies : tuple of str
         Base models that are loaded, and those of which the engine keeps a local copy.
-    adapters, coming : dict
+    adapters, loading : dict
         Adapters that are loaded and adapters that are being loaded, with their
         versions.
     born : int
         Start time in Unix milliseconds; 0 if the engine does not report it.
-    leaves : bool
+    leaving : bool
         Whether the engine is shutting down and accepts no new work.
     limit : float or None
         The engine's rate limit in requests per second; None if it stated none.
@@ -113,10 +113,10 @@
     models: tuple[str, ...] = ()
     model_copies: tuple[str, ...] = ()
     adapters: dict[Adapter, int] = field(default_factory=dict)
-    coming: dict[Adapter, int] = field(default_factory=dict)
+    loading: dict[Adapter, int] = field(default_factory=dict)
     busy: bool = False
     running: int = 0
     waiting: int = 0
     born: int = 0
-    leaves: bool = False
+    leaving: bool = False
     limit: float | None = None
--- a/packages/ashhoist/src/ashhoist/placement/__init__.py
+++ b/packages/ashhoist/src/ashhoist/placement/__init__.py
@@ -1,6 +1,6 @@
 """Adapter placement: which engine serves which adapter, what to load, who waits."""
 
+from .pending_requests import PendingRequest
 from .residency import Residency
-from .wants import Want
 
-__all__ = ["Residency", "Want"]
+__all__ = ["Residency", "PendingRequest"]
--- a/packages/ashhoist/src/ashhoist/placement/actions.py
+++ b/packages/ashhoist/src/ashhoist/placement/actions.py
@@ -6,11 +6,11 @@
 from ..adapter import Adapter
 from ..failures import Reason
 from ..orders.order import Order
-from .wants import Want
+from .pending_requests import PendingRequest
 
 
 @dataclass(frozen=True, slots=True)
-class AskReport:
+class FetchReport:
     """Fetch an engine's report of what it holds."""
 
     upstream: str
@@ -29,7 +29,7 @@
         Whether the engine has a rate limit and a permit was taken for this send.
     """
 
-    want: Want
+    request: PendingRequest
     upstream: str
     version: int
     expected: timedelta
@@ -37,40 +37,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class RequestQueued:
     """A request was queued until an engine serves its adapter."""
 
-    want: Want
+    request: PendingRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
     """A queued request is refused."""
 
-    want: Want
+    request: PendingRequest
     reason: Reason
     retry_after: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class Serving:
+class ServedAdaptersChanged:
     """The set of adapters that an engine serves has changed.
 
     Parameters
     ----------
-    held : dict of Adapter to int
+    served : dict of Adapter to int
         The versions of all adapters that it serves now.
     """
 
     upstream: str
-    held: dict[Adapter, int]
+    served: dict[Adapter, int]
 
 
-SchedulerAction = Order | AskReport | Placed | Held | Refused | Serving
+SchedulerAction = (
+    Order | FetchReport | Placed | RequestQueued | Refused | ServedAdaptersChanged
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Beginning:
+class DirectSend:
     """A request that an instance has sent to an engine without asking the scheduler."""
 
     upstream: str
--- a/packages/ashhoist/src/ashhoist/placement/holders.py
+++ b/packages/ashhoist/src/ashhoist/placement/adapter_index.py
@@ -24,7 +24,7 @@
         self._copies: dict[Adapter, EnginesById] = {}
 
     def holding(self, adapter: Adapter) -> EnginesById:
-        """Return the engines with an adapter in a slot, in any state."""
+        """Return the engines where an adapter is loading, serving or unloading."""
         return self._holding.get(adapter, NO_ENGINES)
 
     def with_copy(self, adapter: Adapter) -> EnginesById:
